--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/DialPatience.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/DialTimeout.java
@@ -6,7 +6,7 @@
  * <p>Healthy targets are a few ms away. A relay on a squeezed link or processor sees all of them answer late; it
  * must not take them all for lost, so it waits a multiple of what its dials that opened took lately.
  */
-public final class DialPatience {
+public final class DialTimeout {
     /** The least time that a request waits, in ms: far regions answer within twenty. */
     static final long LEAST_MILLIS = 100;
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
@@ -114,13 +114,13 @@
     /** A relay on a squeezed link sees every dial take 200 ms; were it to give up after 100 it would serve nobody. */
     @Property
     void aRelayThatReachesAllTargetsSlowlyWaitsLonger(@ForAll @IntRange(min = 0, max = 400) int usual) {
-        DialPatience patience = new DialPatience();
-        assertThat(patience.millis()).isEqualTo(DialPatience.LEAST_MILLIS);
+        DialTimeout patience = new DialTimeout();
+        assertThat(patience.millis()).isEqualTo(DialTimeout.LEAST_MILLIS);
         for (int dial = 0; dial < 40; dial++) {
             patience.opened(usual);
         }
 
-        assertThat(patience.millis()).isBetween(DialPatience.LEAST_MILLIS, DialPatience.MOST_MILLIS);
-        assertThat(patience.millis()).isGreaterThanOrEqualTo(Math.min(DialPatience.MOST_MILLIS, usual));
+        assertThat(patience.millis()).isBetween(DialTimeout.LEAST_MILLIS, DialTimeout.MOST_MILLIS);
+        assertThat(patience.millis()).isGreaterThanOrEqualTo(Math.min(DialTimeout.MOST_MILLIS, usual));
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.rattanrudder.core.fleet.DialPatience;
+import org.rattanrudder.core.fleet.DialTimeout;
 import org.rattanrudder.core.fleet.Target;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.daemon.relay.port.RequestDialect;
@@ -28,10 +28,10 @@
 /** Keeps connections to targets, by incarnation, and opens new ones. */
 final class TargetPools {
     /**
-     * How long a connection may take to open, in ms. A request waits for it only as long as {@link DialPatience} says;
+     * How long a connection may take to open, in ms. A request waits for it only as long as {@link DialTimeout} says;
      * one that opens later is kept for the next request.
      */
-    static final int CONNECT_MILLIS = (int) DialPatience.MOST_MILLIS;
+    static final int CONNECT_MILLIS = (int) DialTimeout.MOST_MILLIS;
 
     /** How long an idle connection is used again if its target doesn't say how long it keeps it, in ms. */
     private static final long IDLE_MILLIS = 1_500;
@@ -50,7 +50,7 @@
     private final RequestDialect dialect;
     private final LongSupplier clock;
     private final Reached reached;
-    private final DialPatience patience = new DialPatience();
+    private final DialTimeout patience = new DialTimeout();
     /** By the target, not its id: one that has started again has none of the connections of before. */
     private final Map<Target, Pool> pools = new HashMap<>();
 
