--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/DialTimeout.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/DialTimeout.java
@@ -19,7 +19,7 @@
     private double usualMillis;
 
     /** Notes how long a dial took that opened, in ms. */
-    public void opened(long tookMillis) {
+    public void recordOpened(long tookMillis) {
         usualMillis += SAMPLE_WEIGHT * (tookMillis - usualMillis);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
@@ -117,7 +117,7 @@
         DialTimeout patience = new DialTimeout();
         assertThat(patience.millis()).isEqualTo(DialTimeout.LEAST_MILLIS);
         for (int dial = 0; dial < 40; dial++) {
-            patience.opened(usual);
+            patience.recordOpened(usual);
         }
 
         assertThat(patience.millis()).isBetween(DialTimeout.LEAST_MILLIS, DialTimeout.MOST_MILLIS);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -170,7 +170,7 @@
                 .connect(new InetSocketAddress(address.host(), address.port()))
                 .addListener((ChannelFuture opened) -> {
                     if (opened.isSuccess()) {
-                        patience.opened(clock.getAsLong() - began);
+                        patience.recordOpened(clock.getAsLong() - began);
                         opened(target, pool, claim, made[0]);
                     } else {
                         notOpened(target, pool, claim);
