--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/DialTimeout.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/DialTimeout.java
@@ -11,7 +11,7 @@
     static final long LEAST_MILLIS = 100;
 
     /** The most, in ms: a dial whose first packet was lost is repeated after a second; another target is sooner. */
-    public static final long MOST_MILLIS = 400;
+    public static final long MAX_MILLIS = 400;
 
     private static final double SAMPLE_WEIGHT = 0.2;
     private static final double MULTIPLE = 4;
@@ -25,6 +25,6 @@
 
     /** Returns how long a request waits for a dial, in ms. */
     public long millis() {
-        return Math.max(LEAST_MILLIS, Math.min(MOST_MILLIS, (long) (MULTIPLE * usualMillis)));
+        return Math.max(LEAST_MILLIS, Math.min(MAX_MILLIS, (long) (MULTIPLE * usualMillis)));
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
@@ -120,7 +120,7 @@
             patience.recordOpened(usual);
         }
 
-        assertThat(patience.millis()).isBetween(DialTimeout.LEAST_MILLIS, DialTimeout.MOST_MILLIS);
-        assertThat(patience.millis()).isGreaterThanOrEqualTo(Math.min(DialTimeout.MOST_MILLIS, usual));
+        assertThat(patience.millis()).isBetween(DialTimeout.LEAST_MILLIS, DialTimeout.MAX_MILLIS);
+        assertThat(patience.millis()).isGreaterThanOrEqualTo(Math.min(DialTimeout.MAX_MILLIS, usual));
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -31,7 +31,7 @@
      * How long a connection may take to open, in ms. A request waits for it only as long as {@link DialTimeout} says;
      * one that opens later is kept for the next request.
      */
-    static final int CONNECT_MILLIS = (int) DialTimeout.MOST_MILLIS;
+    static final int CONNECT_MILLIS = (int) DialTimeout.MAX_MILLIS;
 
     /** How long an idle connection is used again if its target doesn't say how long it keeps it, in ms. */
     private static final long IDLE_MILLIS = 1_500;
