--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -55,7 +55,7 @@
     }
 
     /** Notes that the log doesn't answer. */
-    public void logLost() {
+    public void onLogUnavailable() {
         logAway = true;
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
@@ -48,7 +48,7 @@
     void anEntryThatLapsedWhileTheLogWasAwayIsKeptForAWhile() {
         fleet.logAnswers(START);
         fleet.apply("i-1", Optional.of(entry("i-1", false)), 1, SETTLED);
-        fleet.logLost();
+        fleet.onLogUnavailable();
         long returned = SETTLED + 20_000;
         fleet.logAnswers(returned);
         fleet.apply("i-1", Optional.empty(), 2, returned + 10);
@@ -79,7 +79,7 @@
     void anEntryThatComesBackInTimeStays() {
         fleet.logAnswers(START);
         fleet.apply("i-1", Optional.of(entry("i-1", false)), 1, SETTLED);
-        fleet.logLost();
+        fleet.onLogUnavailable();
         long returned = SETTLED + 20_000;
         fleet.logAnswers(returned);
         fleet.apply("i-1", Optional.empty(), 2, returned + 10);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -312,7 +312,7 @@
 
         @Override
         public void lost() {
-            state.fleet().logLost();
+            state.fleet().onLogUnavailable();
         }
     }
 
