--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -60,7 +60,7 @@
     }
 
     /** Notes that the log answers; only the first call after a loss counts as its return. */
-    public void logAnswers(long nowMillis) {
+    public void onLogAvailable(long nowMillis) {
         if (logAway) {
             logAway = false;
             logReturnedAt = nowMillis;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
@@ -18,7 +18,7 @@
 
     @Test
     void aDrainingTargetTakesNoNewWork() {
-        fleet.logAnswers(START);
+        fleet.onLogAvailable(START);
         fleet.apply("i-1", Optional.of(entry("i-1", false)), 1, SETTLED);
         fleet.apply("i-1", Optional.of(entry("i-1", true)), 2, SETTLED);
 
@@ -32,7 +32,7 @@
      */
     @Test
     void anOlderRecordIsNotBelieved() {
-        fleet.logAnswers(START);
+        fleet.onLogAvailable(START);
         fleet.apply("i-1", Optional.of(entry("i-1", true)), 9, SETTLED);
 
         assertThat(fleet.apply("i-1", Optional.of(entry("i-1", false)), 8, SETTLED))
@@ -46,11 +46,11 @@
      */
     @Test
     void anEntryThatLapsedWhileTheLogWasAwayIsKeptForAWhile() {
-        fleet.logAnswers(START);
+        fleet.onLogAvailable(START);
         fleet.apply("i-1", Optional.of(entry("i-1", false)), 1, SETTLED);
         fleet.onLogUnavailable();
         long returned = SETTLED + 20_000;
-        fleet.logAnswers(returned);
+        fleet.onLogAvailable(returned);
         fleet.apply("i-1", Optional.empty(), 2, returned + 10);
 
         assertThat(fleet.of("llm", returned + 100)).hasSize(1);
@@ -66,7 +66,7 @@
     @Test
     void aRemovalShortlyAfterTheStartIsBelievedInTime() {
         long drainMillis = 2_000;
-        fleet.logAnswers(START);
+        fleet.onLogAvailable(START);
         fleet.apply("i-1", Optional.of(entry("i-1", false)), 6, START + 10);
         fleet.listed(Set.of("i-1"), 7, START + 10);
         long removed = START + 400;
@@ -77,11 +77,11 @@
 
     @Test
     void anEntryThatComesBackInTimeStays() {
-        fleet.logAnswers(START);
+        fleet.onLogAvailable(START);
         fleet.apply("i-1", Optional.of(entry("i-1", false)), 1, SETTLED);
         fleet.onLogUnavailable();
         long returned = SETTLED + 20_000;
-        fleet.logAnswers(returned);
+        fleet.onLogAvailable(returned);
         fleet.apply("i-1", Optional.empty(), 2, returned + 10);
         fleet.apply("i-1", Optional.of(entry("i-1", false)), 3, returned + 900);
 
@@ -90,7 +90,7 @@
 
     @Test
     void aTargetThatAListingLacksIsGoneUnlessItIsNewer() {
-        fleet.logAnswers(START);
+        fleet.onLogAvailable(START);
         fleet.apply("i-1", Optional.of(entry("i-1", false)), 1, SETTLED);
         fleet.apply("i-2", Optional.of(entry("i-2", false)), 7, SETTLED);
 
@@ -107,7 +107,7 @@
     @CsvSource({"0, 0", "1, 1", "2, 2", "3, 0", "4, 0"})
     void aRelayThatReachesFewTargetsSaysNothingOfThem(int lost, int told) {
         Fleet fleet = new Fleet();
-        fleet.logAnswers(0);
+        fleet.onLogAvailable(0);
         for (int index = 0; index < 4; index++) {
             String id = "i-" + index;
             fleet.apply(id, Optional.of(entry(id, false)), index, 1_000);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -99,7 +99,7 @@
     @Test
     void anEngineThatOthersFilledIsClosed() {
         Fleet fleet = new Fleet();
-        fleet.logAnswers(0);
+        fleet.onLogAvailable(0);
         fleet.apply("i-1", Optional.of(FleetTest.entry("i-1", false)), 1, NOW);
         List<Target> targets = fleet.of("llm", NOW);
         assertThat(SendWindow.open(targets, ENGINE, 9_000, false, NOW)).hasSize(1);
@@ -133,7 +133,7 @@
     @Test
     void anEngineThatAnotherRelayOrderedToLoadTakesNoWork() {
         Fleet fleet = new Fleet();
-        fleet.logAnswers(0);
+        fleet.onLogAvailable(0);
         fleet.apply("i-1", Optional.of(FleetTest.entry("i-1", false)), 1, NOW);
 
         fleet.heard(
@@ -176,7 +176,7 @@
     @Test
     void weightsThatOneRelaySawServedAreKnownToAll() {
         Fleet fleet = new Fleet();
-        fleet.logAnswers(0);
+        fleet.onLogAvailable(0);
         fleet.apply("i-1", Optional.of(FleetTest.entry("i-1", false)), 1, NOW);
         Target seen = PlacementTest.target("i-1", "north", 1);
         seen.confirmWeights("m", 2, NOW);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
@@ -40,7 +40,7 @@
      */
     @Test
     void lateWordsOfAnEarlierStartChangeNothing() {
-        fleet.logAnswers(0);
+        fleet.onLogAvailable(0);
         fleet.apply(ID, Optional.of(entry(7_000, false)), 4, NOW);
 
         assertThat(fleet.apply(ID, Optional.of(entry(5_000, true)), 5, NOW)).isFalse();
@@ -50,7 +50,7 @@
     /** What was seen of a server before it crashed, and what it had to do, isn't held against the new start. */
     @Test
     void aTargetThatStartedAgainHasNoPast() {
-        fleet.logAnswers(0);
+        fleet.onLogAvailable(0);
         fleet.apply(ID, Optional.of(entry(5_000, false)), 4, NOW);
         Target before = fleet.find(ID).orElseThrow();
         before.sent(new Target.Work(5_000, 5_000), NOW);
@@ -70,7 +70,7 @@
     /** An entry that another writer has put in a server's place names nothing; the server's next one does again. */
     @Test
     void anUnreadableRecordTakesAwayJustItsTargetUntilItsNextEntry() {
-        fleet.logAnswers(0);
+        fleet.onLogAvailable(0);
         fleet.apply(ID, Optional.of(entry(5_000, false)), 4, NOW);
         fleet.apply("i-2", Optional.of(FleetTest.entry("i-2", false)), 5, NOW);
 
@@ -84,7 +84,7 @@
 
     @Test
     void anUnreadableRecordThatIsOlderChangesNothing() {
-        fleet.logAnswers(0);
+        fleet.onLogAvailable(0);
         fleet.apply(ID, Optional.of(entry(5_000, false)), 4, NOW);
 
         fleet.unreadable(ID, 3);
@@ -96,7 +96,7 @@
     @Property(tries = 500)
     void theNewestStartsLastEntryHoldsInAnyOrder(@ForAll("writtenInAnyOrder") List<Written> seen) {
         Fleet relay = new Fleet();
-        relay.logAnswers(0);
+        relay.onLogAvailable(0);
         seen.forEach(written -> relay.apply(ID, Optional.of(written.entry()), written.offset(), NOW));
         Written last = seen.stream()
                 .max(Comparator.comparingLong(Written::startedAt).thenComparingLong(Written::offset))
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
@@ -61,7 +61,7 @@
     /** Forty relays and forty engines in five failure domains. */
     private static Fleet fleetOfForty() {
         Fleet fleet = new Fleet();
-        fleet.logAnswers(0);
+        fleet.onLogAvailable(0);
         Map<String, String> relays = new HashMap<>();
         for (int number = 0; number < 40; number++) {
             String domain = "domain-" + number % 5;
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -307,7 +307,7 @@
 
         @Override
         public void answered() {
-            state.fleet().logAnswers(state.now());
+            state.fleet().onLogAvailable(state.now());
         }
 
         @Override
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -71,7 +71,7 @@
         this.store = store;
         this.tally = tally;
         traits = new EngineTraits(day.costs().slots(), day.costs().memoryTokens(), (long) TOKEN_BYTES, TOKEN_BYTES);
-        fleet.logAnswers(0);
+        fleet.onLogAvailable(0);
     }
 
     /** Makes an engine known. */
