--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -80,7 +80,7 @@
     }
 
     /** Notes a record of a target that can't be read: another writer's, which names nothing to send to. */
-    public void unreadable(String id, long offset) {
+    public void onUnreadableRecord(String id, long offset) {
         if (isNewer(id, offset)) {
             replaced(id);
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
@@ -74,7 +74,7 @@
         fleet.apply(ID, Optional.of(entry(5_000, false)), 4, NOW);
         fleet.apply("i-2", Optional.of(FleetTest.entry("i-2", false)), 5, NOW);
 
-        fleet.unreadable(ID, 6);
+        fleet.onUnreadableRecord(ID, 6);
         assertThat(fleet.of("llm", NOW)).extracting(Target::id).containsExactly("i-2");
         assertThat(fleet.apply(ID, Optional.of(entry(5_000, false)), 4, NOW)).isFalse();
 
@@ -87,7 +87,7 @@
         fleet.onLogAvailable(0);
         fleet.apply(ID, Optional.of(entry(5_000, false)), 4, NOW);
 
-        fleet.unreadable(ID, 3);
+        fleet.onUnreadableRecord(ID, 3);
 
         assertThat(fleet.of("llm", NOW)).hasSize(1);
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -278,7 +278,7 @@
             try {
                 read = record.value().map(value -> store.readTarget(record.key(), value));
             } catch (IllegalArgumentException unreadable) {
-                state.fleet().unreadable(record.key(), record.offset());
+                state.fleet().onUnreadableRecord(record.key(), record.offset());
                 throw unreadable;
             }
             boolean news = state.fleet().apply(record.key(), read, record.offset(), now);
