--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -116,7 +116,7 @@
     }
 
     /** Takes a full listing: targets that it lacks are gone, unless they are newer than the listing. */
-    public void listed(Set<String> present, long end, long nowMillis) {
+    public void applyListing(Set<String> present, long end, long nowMillis) {
         for (String id : List.copyOf(targets.keySet())) {
             if (!present.contains(id) && newest.get(id).offset() < end) {
                 remove(id, nowMillis);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
@@ -68,7 +68,7 @@
         long drainMillis = 2_000;
         fleet.onLogAvailable(START);
         fleet.apply("i-1", Optional.of(entry("i-1", false)), 6, START + 10);
-        fleet.listed(Set.of("i-1"), 7, START + 10);
+        fleet.applyListing(Set.of("i-1"), 7, START + 10);
         long removed = START + 400;
         fleet.apply("i-1", Optional.empty(), 12, removed);
 
@@ -94,7 +94,7 @@
         fleet.apply("i-1", Optional.of(entry("i-1", false)), 1, SETTLED);
         fleet.apply("i-2", Optional.of(entry("i-2", false)), 7, SETTLED);
 
-        fleet.listed(Set.of(), 5, SETTLED);
+        fleet.applyListing(Set.of(), 5, SETTLED);
 
         assertThat(fleet.of("llm", SETTLED)).extracting(Target::id).containsExactly("i-2");
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -302,7 +302,7 @@
 
         @Override
         public void listed(Set<String> keys, long end) {
-            state.fleet().listed(keys, end, state.now());
+            state.fleet().applyListing(keys, end, state.now());
         }
 
         @Override
