--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -82,7 +82,7 @@
     /** Notes a record of a target that can't be read: another writer's, which names nothing to send to. */
     public void onUnreadableRecord(String id, long offset) {
         if (isNewer(id, offset)) {
-            replaced(id);
+            removeReplaced(id);
         }
     }
 
@@ -125,7 +125,7 @@
     }
 
     /** Notes that a target isn't there any more: another one answered at its address. */
-    public void replaced(String id) {
+    public void removeReplaced(String id) {
         targets.remove(id);
         lapsed.remove(id);
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -266,7 +266,7 @@
         Optional<String> other = facts.target().filter(id -> !id.equals(target.id()));
         if (other.isPresent()) {
             state.log().warn("target_replaced", "target", target.id(), "found", other.get());
-            state.fleet().replaced(target.id());
+            state.fleet().removeReplaced(target.id());
         } else {
             target.refused(state.now());
         }
