--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -142,7 +142,7 @@
      * @param self this relay's name
      * @param domains the failure domain of each relay by its name, of this one too
      */
-    public void relays(String self, Map<String, String> domains) {
+    public void updateRelays(String self, Map<String, String> domains) {
         sharing.relays(self, domains);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
@@ -69,7 +69,7 @@
             Target target = PlacementTest.target("i-" + number, domain, 1);
             fleet.apply(target.id(), Optional.of(target.entry()), number, NOW);
         }
-        fleet.relays("relay-7", relays);
+        fleet.updateRelays("relay-7", relays);
         return fleet;
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -194,7 +194,7 @@
     private void shareTargets(long now) {
         Map<String, String> domains = new HashMap<>(schedule.present(now));
         domains.put(state.settings().instance(), state.settings().failureDomain());
-        state.fleet().relays(state.settings().instance(), domains);
+        state.fleet().updateRelays(state.settings().instance(), domains);
     }
 
     private RelayLoad all(long now) {
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -97,7 +97,7 @@
             schedule.registered(other.name, other.domain, other.domain.equals(domain));
         }
         if (policy.sharing()) {
-            fleet.relays(name, domains);
+            fleet.updateRelays(name, domains);
         }
         time.afterMillis(firstMillis, this::tellAll);
     }
