--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -147,7 +147,7 @@
     }
 
     /** Takes what another relay says of its work. */
-    public void heard(RelayLoad load, long nowMillis) {
+    public void applyLoadReport(RelayLoad load, long nowMillis) {
         peers.heard(load, nowMillis);
         load.loading().forEach(id -> find(id).ifPresent(target -> target.swapping(nowMillis + LOADING_TOLD_MILLIS)));
         for (ServedWeights served : load.served()) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -104,8 +104,8 @@
         List<Target> targets = fleet.of("llm", NOW);
         assertThat(SendWindow.open(targets, ENGINE, 9_000, false, NOW)).hasSize(1);
 
-        fleet.heard(load("a", 1, new TargetLoad("i-1", 5, 45_000, 0)), NOW);
-        fleet.heard(load("b", 1, new TargetLoad("i-1", 3, 27_000, 0)), NOW);
+        fleet.applyLoadReport(load("a", 1, new TargetLoad("i-1", 5, 45_000, 0)), NOW);
+        fleet.applyLoadReport(load("b", 1, new TargetLoad("i-1", 3, 27_000, 0)), NOW);
 
         assertThat(SendWindow.open(targets, ENGINE, 9_000, false, NOW)).isEmpty();
     }
@@ -136,7 +136,7 @@
         fleet.onLogAvailable(0);
         fleet.apply("i-1", Optional.of(FleetTest.entry("i-1", false)), 1, NOW);
 
-        fleet.heard(
+        fleet.applyLoadReport(
                 new RelayLoad(
                         "a",
                         1,
@@ -181,7 +181,7 @@
         Target seen = PlacementTest.target("i-1", "north", 1);
         seen.confirmWeights("m", 2, NOW);
 
-        fleet.heard(
+        fleet.applyLoadReport(
                 new RelayLoad(
                         "a",
                         1,
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -297,7 +297,7 @@
         private void heard(String relay, RelayLoad load) {
             long now = state.now();
             schedule.heard(relay, now);
-            state.fleet().heard(load, now);
+            state.fleet().applyLoadReport(load, now);
             load.late().forEach(late -> state.directory().fetched(late, now));
             load.weights()
                     .forEach(known -> state.weights().known(known.model(), known.version(), known.ageMillis(), now));
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -150,7 +150,7 @@
 
     private void heard(String relay, RelayLoad load) {
         schedule.heard(relay, time.millis());
-        fleet.heard(load, time.millis());
+        fleet.applyLoadReport(load, time.millis());
     }
 
     private void changed(Target target) {
