--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -162,7 +162,7 @@
     }
 
     /** Returns the other relays that were heard of lately. */
-    public Set<String> peerNames(long nowMillis) {
+    public Set<String> livePeers(long nowMillis) {
         return peers.relays(nowMillis);
     }
 
