--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -36,7 +36,7 @@
     private final Map<String, Target> targets = new LinkedHashMap<>();
     private final Map<String, Seen> newest = new HashMap<>();
     private final Map<String, Long> lapsed = new HashMap<>();
-    private final PeerLoads peers = new PeerLoads();
+    private final PeerLoads livePeerCount = new PeerLoads();
     private final TargetSharing sharing = new TargetSharing();
 
     /** Not at the start: who has seen no loss would hold back removals that were made while the log was there. */
@@ -108,7 +108,7 @@
         lapsed.remove(entry.id());
         Target target = targets.get(entry.id());
         if (target == null || startedAgain) {
-            targets.put(entry.id(), new Target(entry, peers, sharing));
+            targets.put(entry.id(), new Target(entry, livePeerCount, sharing));
         } else {
             target.update(entry);
         }
@@ -148,7 +148,7 @@
 
     /** Takes what another relay says of its work. */
     public void applyLoadReport(RelayLoad load, long nowMillis) {
-        peers.heard(load, nowMillis);
+        livePeerCount.heard(load, nowMillis);
         load.loading().forEach(id -> find(id).ifPresent(target -> target.swapping(nowMillis + LOADING_TOLD_MILLIS)));
         for (ServedWeights served : load.served()) {
             find(served.target())
@@ -158,17 +158,17 @@
 
     /** Returns whether another relay takes new connections, as far as known. */
     public boolean anyPeerReady(long nowMillis) {
-        return peers.anyReady(nowMillis);
+        return livePeerCount.anyReady(nowMillis);
     }
 
     /** Returns the other relays that were heard of lately. */
     public Set<String> livePeers(long nowMillis) {
-        return peers.relays(nowMillis);
+        return livePeerCount.relays(nowMillis);
     }
 
     /** Returns how many other relays were heard of lately. */
-    public int peers(long nowMillis) {
-        return peers.alive(nowMillis);
+    public int livePeerCount(long nowMillis) {
+        return livePeerCount.alive(nowMillis);
     }
 
     /** Returns the target of an incarnation. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
@@ -68,7 +68,7 @@
                                 .filter(target -> target.isSwapping(now))
                                 .count()),
                         "peers",
-                        Integer.toString(state.fleet().peers(now)));
+                        Integer.toString(state.fleet().livePeerCount(now)));
     }
 
     void failed(String target, AttemptOutcome outcome, String reason, long afterMillis, boolean answerBegan) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -217,7 +217,7 @@
 
     /** Returns how many relays are known, this one included. */
     int relays(long nowMillis) {
-        return 1 + fleet.peers(nowMillis);
+        return 1 + fleet.livePeerCount(nowMillis);
     }
 
     /** Takes a further send of a service's request from the retry budget; false if none is left. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -168,7 +168,7 @@
                 tokens(),
                 contextHash,
                 state.relayHash(),
-                state.fleet().peers(now),
+                state.fleet().livePeerCount(now),
                 connections(now),
                 tried);
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TopicFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TopicFollower.java
@@ -161,7 +161,7 @@
             // In a topic without records the answer would come when the wait is over.
             return 0;
         }
-        long usual = pace.waitMillis().applyAsLong(state.fleet().peers(calledAt));
+        long usual = pace.waitMillis().applyAsLong(state.fleet().livePeerCount(calledAt));
         return calledAt < expectingUntil ? Math.min(usual, EXPECTING_MILLIS) : usual;
     }
 
@@ -271,7 +271,7 @@
     }
 
     private long gap() {
-        return pace.gapMillis().applyAsLong(state.fleet().peers(state.now()));
+        return pace.gapMillis().applyAsLong(state.fleet().livePeerCount(state.now()));
     }
 
     /**
@@ -289,7 +289,7 @@
         }
         if (inGap) {
             long now = state.now();
-            long wanted = Pace.hintedGapMillis(state.fleet().peers(now));
+            long wanted = Pace.hintedGapMillis(state.fleet().livePeerCount(now));
             timer.next(this::follow, Math.max(0, Math.min(gapEndsAt, answeredAt + wanted) - now));
         } else if (following && state.now() - calledAt > HINT_MILLIS) {
             state.log()
