--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -177,7 +177,7 @@
     }
 
     /** Returns the targets of a service that take new work. */
-    public List<Target> of(String service, long nowMillis) {
+    public List<Target> activeTargets(String service, long nowMillis) {
         dropLapsed(nowMillis);
         List<Target> found = new ArrayList<>();
         for (Target target : targets.values()) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
@@ -22,7 +22,7 @@
         fleet.apply("i-1", Optional.of(entry("i-1", false)), 1, SETTLED);
         fleet.apply("i-1", Optional.of(entry("i-1", true)), 2, SETTLED);
 
-        assertThat(fleet.of("llm", SETTLED)).isEmpty();
+        assertThat(fleet.activeTargets("llm", SETTLED)).isEmpty();
         assertThat(fleet.find("i-1")).isPresent();
     }
 
@@ -37,7 +37,7 @@
 
         assertThat(fleet.apply("i-1", Optional.of(entry("i-1", false)), 8, SETTLED))
                 .isFalse();
-        assertThat(fleet.of("llm", SETTLED)).isEmpty();
+        assertThat(fleet.activeTargets("llm", SETTLED)).isEmpty();
     }
 
     /**
@@ -53,8 +53,9 @@
         fleet.onLogAvailable(returned);
         fleet.apply("i-1", Optional.empty(), 2, returned + 10);
 
-        assertThat(fleet.of("llm", returned + 100)).hasSize(1);
-        assertThat(fleet.of("llm", returned + Fleet.RETURN_GRACE_MILLIS + 11)).isEmpty();
+        assertThat(fleet.activeTargets("llm", returned + 100)).hasSize(1);
+        assertThat(fleet.activeTargets("llm", returned + Fleet.RETURN_GRACE_MILLIS + 11))
+                .isEmpty();
     }
 
     /**
@@ -72,7 +73,7 @@
         long removed = START + 400;
         fleet.apply("i-1", Optional.empty(), 12, removed);
 
-        assertThat(fleet.of("llm", removed + drainMillis)).isEmpty();
+        assertThat(fleet.activeTargets("llm", removed + drainMillis)).isEmpty();
     }
 
     @Test
@@ -85,7 +86,7 @@
         fleet.apply("i-1", Optional.empty(), 2, returned + 10);
         fleet.apply("i-1", Optional.of(entry("i-1", false)), 3, returned + 900);
 
-        assertThat(fleet.of("llm", returned + 60_000)).hasSize(1);
+        assertThat(fleet.activeTargets("llm", returned + 60_000)).hasSize(1);
     }
 
     @Test
@@ -96,7 +97,7 @@
 
         fleet.applyListing(Set.of(), 5, SETTLED);
 
-        assertThat(fleet.of("llm", SETTLED)).extracting(Target::id).containsExactly("i-2");
+        assertThat(fleet.activeTargets("llm", SETTLED)).extracting(Target::id).containsExactly("i-2");
     }
 
     /**
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -101,7 +101,7 @@
         Fleet fleet = new Fleet();
         fleet.onLogAvailable(0);
         fleet.apply("i-1", Optional.of(FleetTest.entry("i-1", false)), 1, NOW);
-        List<Target> targets = fleet.of("llm", NOW);
+        List<Target> targets = fleet.activeTargets("llm", NOW);
         assertThat(SendWindow.open(targets, ENGINE, 9_000, false, NOW)).hasSize(1);
 
         fleet.applyLoadReport(load("a", 1, new TargetLoad("i-1", 5, 45_000, 0)), NOW);
@@ -152,9 +152,10 @@
                         0),
                 NOW);
 
-        assertThat(SendWindow.open(fleet.of("llm", NOW), ENGINE, 9_000, false, NOW))
+        assertThat(SendWindow.open(fleet.activeTargets("llm", NOW), ENGINE, 9_000, false, NOW))
                 .isEmpty();
-        assertThat(SendWindow.open(fleet.of("llm", NOW), ENGINE, 9_000, false, NOW + Fleet.LOADING_TOLD_MILLIS))
+        assertThat(SendWindow.open(
+                        fleet.activeTargets("llm", NOW), ENGINE, 9_000, false, NOW + Fleet.LOADING_TOLD_MILLIS))
                 .hasSize(1);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
@@ -44,7 +44,7 @@
         fleet.apply(ID, Optional.of(entry(7_000, false)), 4, NOW);
 
         assertThat(fleet.apply(ID, Optional.of(entry(5_000, true)), 5, NOW)).isFalse();
-        assertThat(fleet.of("llm", NOW)).hasSize(1);
+        assertThat(fleet.activeTargets("llm", NOW)).hasSize(1);
     }
 
     /** What was seen of a server before it crashed, and what it had to do, isn't held against the new start. */
@@ -75,11 +75,11 @@
         fleet.apply("i-2", Optional.of(FleetTest.entry("i-2", false)), 5, NOW);
 
         fleet.onUnreadableRecord(ID, 6);
-        assertThat(fleet.of("llm", NOW)).extracting(Target::id).containsExactly("i-2");
+        assertThat(fleet.activeTargets("llm", NOW)).extracting(Target::id).containsExactly("i-2");
         assertThat(fleet.apply(ID, Optional.of(entry(5_000, false)), 4, NOW)).isFalse();
 
         fleet.apply(ID, Optional.of(entry(5_000, false)), 7, NOW);
-        assertThat(fleet.of("llm", NOW)).hasSize(2);
+        assertThat(fleet.activeTargets("llm", NOW)).hasSize(2);
     }
 
     @Test
@@ -89,7 +89,7 @@
 
         fleet.onUnreadableRecord(ID, 3);
 
-        assertThat(fleet.of("llm", NOW)).hasSize(1);
+        assertThat(fleet.activeTargets("llm", NOW)).hasSize(1);
     }
 
     /** In whatever order entries of several starts are seen, also twice, relays end with the newest start's last. */
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
@@ -39,7 +39,7 @@
     @Test
     void anEngineOfOtherSharersIsOpenOnlyIfNoSharedOneTakesWork() {
         Fleet fleet = fleetOfForty();
-        List<Target> engines = fleet.of("llm", NOW);
+        List<Target> engines = fleet.activeTargets("llm", NOW);
         List<Target> shared = engines.stream().filter(Target::isShared).toList();
         assertThat(shared).hasSizeBetween(3, 20);
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -123,7 +123,11 @@
         long now = state.now();
         boolean late = now > plan.onTimeUntil();
         List<Target> open = SendWindow.open(
-                        state.fleet().of(plan.service(), now), plan.engine().orElseThrow(), plan.tokens(), late, now)
+                        state.fleet().activeTargets(plan.service(), now),
+                        plan.engine().orElseThrow(),
+                        plan.tokens(),
+                        late,
+                        now)
                 .stream()
                 .filter(target -> !tried.contains(target.id()))
                 .toList();
@@ -144,7 +148,7 @@
 
     private void placeAnywhere() {
         long now = state.now();
-        List<Target> targets = state.fleet().of(plan.service(), now);
+        List<Target> targets = state.fleet().activeTargets(plan.service(), now);
         Optional<Placement.Choice> choice = Placement.choose(targets, plan.query(tried, now), now);
         if (choice.isPresent()) {
             sendTo(choice.get());
@@ -341,7 +345,8 @@
 
     /** Returns whether a target is left that hasn't refused the request: asking one again at once is of no use. */
     private boolean isAnotherLeft() {
-        return state.fleet().of(plan.service(), state.now()).stream().anyMatch(target -> !tried.contains(target.id()));
+        return state.fleet().activeTargets(plan.service(), state.now()).stream()
+                .anyMatch(target -> !tried.contains(target.id()));
     }
 
     /** Ends an attempt that failed. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
@@ -33,7 +33,7 @@
         place = line.join(exchange, plan.rank(), plan.tokens(), onTimeUntil, lateUntil, plan.deadlineAt());
         long millis = Math.max(1, onTimeUntil - now);
         expiry = state.loop().schedule(() -> late(lateUntil), millis, TimeUnit.MILLISECONDS);
-        log.held(line.size(), millis, state.fleet().of(plan.service(), now), now);
+        log.held(line.size(), millis, state.fleet().activeTargets(plan.service(), now), now);
     }
 
     /** The request can't be on time any more; it may wait on for a while, behind those that can. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -131,7 +131,7 @@
             if (service.engine().isEmpty()) {
                 continue;
             }
-            List<Target> targets = state.fleet().of(service.name(), state.now());
+            List<Target> targets = state.fleet().activeTargets(service.name(), state.now());
             state.weights().models().forEach(model -> {
                 long newest = state.weights().newest(model);
                 List<Target> serving = targets.stream()
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -198,7 +198,8 @@
     void expireLine(String service) {
         HoldingLine<Exchange> line = line(service);
         long now = now();
-        long allowed = HoldingLine.lateTokensAllowed(fleet.of(service, now).size(), relays(now));
+        long allowed =
+                HoldingLine.lateTokensAllowed(fleet.activeTargets(service, now).size(), relays(now));
         line.expire(now, allowed).forEach(refused -> refused.request().refuseFromLine());
         drainLine(service);
     }
