--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -192,7 +192,7 @@
      * Returns the targets that this relay can't reach, for the others to look at. A relay that reaches fewer than half
      * of its targets is likely cut off itself, and says nothing: its word would have all others dial every target.
      */
-    public List<String> unreachable(long nowMillis) {
+    public List<String> unreachableTargets(long nowMillis) {
         Collection<Target> all = all(nowMillis);
         List<String> lost =
                 all.stream().filter(Target::isUnreachable).map(Target::id).toList();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
@@ -117,7 +117,7 @@
             target.dialled(index >= lost, 1_400);
         }
 
-        assertThat(fleet.unreachable(1_400)).hasSize(told);
+        assertThat(fleet.unreachableTargets(1_400)).hasSize(told);
     }
 
     static TargetEntry entry(String id, boolean draining) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -206,7 +206,7 @@
                 weights(now),
                 served(now),
                 own.loading(),
-                state.fleet().unreachable(now),
+                state.fleet().unreachableTargets(now),
                 own.ready(),
                 own.readTo(),
                 List.of(),
