--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingLine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
@@ -17,7 +17,7 @@
  *
  * @param <T> a request
  */
-public final class HoldingLine<T> {
+public final class HoldingQueue<T> {
     /** The part of the objective that a request waits to be on time; what is left must do for reading its prompt. */
     public static final double HELD_SHARE = 0.5;
 
@@ -43,7 +43,7 @@
     private long numbers;
 
     /** Makes an empty line. */
-    public HoldingLine() {}
+    public HoldingQueue() {}
 
     /**
      * Returns the tokens of late requests that may wait at one relay. All relays wait for the same engines, so each has
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/HoldingLineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/HoldingLineTest.java
@@ -9,7 +9,7 @@
 class HoldingLineTest {
     private static final long LATE_TOKENS = 20_000;
 
-    private final HoldingLine<String> line = new HoldingLine<>();
+    private final HoldingQueue<String> line = new HoldingQueue<>();
 
     @Test
     void theMoreUrgentRankGoesFirstThenTheLeastTime() {
@@ -17,9 +17,9 @@
         line.join("soon", 1, 100, 200, 2_000, 4_000);
         line.join("urgent", 0, 100, 900, 2_000, 4_000);
 
-        assertThat(line.first()).get().extracting(HoldingLine.Place::request).isEqualTo("urgent");
+        assertThat(line.first()).get().extracting(HoldingQueue.Place::request).isEqualTo("urgent");
         line.leave(line.first().orElseThrow());
-        assertThat(line.first()).get().extracting(HoldingLine.Place::request).isEqualTo("soon");
+        assertThat(line.first()).get().extracting(HoldingQueue.Place::request).isEqualTo("soon");
     }
 
     /**
@@ -34,11 +34,11 @@
         line.join("on time", 3, 9_000, 500, 2_000, 4_000);
 
         assertThat(line.expire(200, LATE_TOKENS))
-                .extracting(HoldingLine.Place::request)
+                .extracting(HoldingQueue.Place::request)
                 .containsExactly("third late");
-        assertThat(line.first()).get().extracting(HoldingLine.Place::request).isEqualTo("on time");
+        assertThat(line.first()).get().extracting(HoldingQueue.Place::request).isEqualTo("on time");
         line.leave(line.first().orElseThrow());
-        assertThat(line.first()).get().extracting(HoldingLine.Place::request).isEqualTo("first late");
+        assertThat(line.first()).get().extracting(HoldingQueue.Place::request).isEqualTo("first late");
         line.leave(line.first().orElseThrow());
         line.join("fourth late", 0, 9_000, 210, 2_000, 4_000);
         assertThat(line.expire(300, LATE_TOKENS)).isEmpty();
@@ -52,7 +52,7 @@
     @ParameterizedTest
     @CsvSource({"6, 3", "8, 6", "35, 27", "40, 31", "1000, 130"})
     void whatWaitsAtAllRelaysTogetherDoesNotGrowWithTheirNumber(int engines, int relays) {
-        long together = relays * HoldingLine.lateTokensAllowed(engines, relays);
+        long together = relays * HoldingQueue.lateTokensAllowed(engines, relays);
 
         assertThat(together / engines).isBetween(35_000L, 40_000L);
     }
@@ -63,21 +63,21 @@
      */
     @Test
     void whatWaitsTooLongAmongTheLateIsRefused() {
-        HoldingLine<String> line = new HoldingLine<>();
+        HoldingQueue<String> line = new HoldingQueue<>();
         line.join("late", 0, 9_000, 100, 1_000, 4_000);
         line.join("later", 0, 9_000, 100, 1_100, 4_000);
         assertThat(line.expire(100, 40_000)).isEmpty();
 
         assertThat(line.expire(1_000, 40_000))
-                .extracting(HoldingLine.Place::request)
+                .extracting(HoldingQueue.Place::request)
                 .containsExactly("late");
 
         assertThat(line.size()).isEqualTo(1);
         assertThat(line.expire(1_099, 40_000)).isEmpty();
-        HoldingLine.Place<String> next = line.join("next", 0, 31_000, 1_050, 2_000, 4_000);
+        HoldingQueue.Place<String> next = line.join("next", 0, 31_000, 1_050, 2_000, 4_000);
         assertThat(line.expire(1_100, 40_000))
                 .as("room of those that left is free")
-                .extracting(HoldingLine.Place::request)
+                .extracting(HoldingQueue.Place::request)
                 .containsExactly("later");
         assertThat(line.isLate(next)).isTrue();
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
@@ -2,7 +2,7 @@
 
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import org.rattanrudder.core.fleet.HoldingLine;
+import org.rattanrudder.core.fleet.HoldingQueue;
 
 /** A request's wait in line for an engine with room: on time at first, then late, then no more. */
 final class LineWait {
@@ -10,7 +10,7 @@
     private final RequestPlan plan;
     private final Exchange exchange;
     private final ExchangeLog log;
-    private HoldingLine.Place<Exchange> place;
+    private HoldingQueue.Place<Exchange> place;
     private ScheduledFuture<?> expiry;
 
     LineWait(RelayState state, RequestPlan plan, Exchange exchange, ExchangeLog log) {
@@ -26,7 +26,7 @@
      * @param letDown whether a target has let the request down: it isn't sent away for the time that it lost there
      */
     void join(boolean letDown) {
-        HoldingLine<Exchange> line = state.line(plan.service());
+        HoldingQueue<Exchange> line = state.line(plan.service());
         long now = state.now();
         long onTimeUntil = Math.max(now, plan.onTimeUntil());
         long lateUntil = letDown ? now + plan.route().objectiveMillis() : Math.max(now, plan.lateUntil());
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 import org.rattanrudder.core.fleet.Fleet;
-import org.rattanrudder.core.fleet.HoldingLine;
+import org.rattanrudder.core.fleet.HoldingQueue;
 import org.rattanrudder.core.gateway.CallerLimits;
 import org.rattanrudder.core.gateway.LoopLag;
 import org.rattanrudder.core.gateway.RetryAllowance;
@@ -44,7 +44,7 @@
     private final PartDirectory directory;
     private final Map<String, RetryAllowance> allowances = new HashMap<>();
     private final NamedVersions weights = new NamedVersions();
-    private final Map<String, HoldingLine<Exchange>> lines = new HashMap<>();
+    private final Map<String, HoldingQueue<Exchange>> lines = new HashMap<>();
     private final Set<String> linesBeingDrained = new HashSet<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
     private final LoopLag lag;
@@ -190,23 +190,23 @@
     }
 
     /** Returns the line of a service's requests that wait for an engine. */
-    HoldingLine<Exchange> line(String service) {
-        return lines.computeIfAbsent(service, unseen -> new HoldingLine<>());
+    HoldingQueue<Exchange> line(String service) {
+        return lines.computeIfAbsent(service, unseen -> new HoldingQueue<>());
     }
 
     /** Lets requests that can't be on time go behind the others, and refuses those that would wait too long. */
     void expireLine(String service) {
-        HoldingLine<Exchange> line = line(service);
+        HoldingQueue<Exchange> line = line(service);
         long now = now();
         long allowed =
-                HoldingLine.lateTokensAllowed(fleet.activeTargets(service, now).size(), relays(now));
+                HoldingQueue.lateTokensAllowed(fleet.activeTargets(service, now).size(), relays(now));
         line.expire(now, allowed).forEach(refused -> refused.request().refuseFromLine());
         drainLine(service);
     }
 
     /** Sends requests that wait, as far as engines have room. */
     void drainLine(String service) {
-        HoldingLine<Exchange> line = line(service);
+        HoldingQueue<Exchange> line = line(service);
         if (line.size() == 0 || !linesBeingDrained.add(service)) {
             return;
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -6,7 +6,7 @@
 import java.util.OptionalInt;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.rattanrudder.core.fleet.HoldingLine;
+import org.rattanrudder.core.fleet.HoldingQueue;
 import org.rattanrudder.core.fleet.PlacementQuery;
 import org.rattanrudder.core.fleet.Target;
 import org.rattanrudder.core.gateway.BackendService;
@@ -141,12 +141,12 @@
 
     /** Returns until when it must be sent to be on time. */
     long onTimeUntil() {
-        return arrivedAt + (long) (route.objectiveMillis() * HoldingLine.HELD_SHARE);
+        return arrivedAt + (long) (route.objectiveMillis() * HoldingQueue.HELD_SHARE);
     }
 
     /** Returns until when it waits in line once it can't be on time. */
     long lateUntil() {
-        return arrivedAt + (long) (route.objectiveMillis() * HoldingLine.LATE_SHARE);
+        return arrivedAt + (long) (route.objectiveMillis() * HoldingQueue.LATE_SHARE);
     }
 
     /** Returns how long a healthy target needs to the first byte, in ms. */
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelPolicy.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelPolicy.java
@@ -1,6 +1,6 @@
 package org.rattanrudder.standins.model;
 
-import org.rattanrudder.core.fleet.HoldingLine;
+import org.rattanrudder.core.fleet.HoldingQueue;
 
 /**
  * A way in which relays decide, by what is compared.
@@ -49,8 +49,8 @@
         private boolean endsToo;
         private boolean countPlaced = true;
         private boolean ownOrder = true;
-        private double heldShare = HoldingLine.HELD_SHARE;
-        private double lateShare = HoldingLine.LATE_SHARE;
+        private double heldShare = HoldingQueue.HELD_SHARE;
+        private double lateShare = HoldingQueue.LATE_SHARE;
 
         Change messages(long everyMillis, int toFarOnesEvery) {
             wholeEveryMillis = everyMillis;
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 import org.rattanrudder.core.fleet.Fleet;
-import org.rattanrudder.core.fleet.HoldingLine;
+import org.rattanrudder.core.fleet.HoldingQueue;
 import org.rattanrudder.core.fleet.Placement;
 import org.rattanrudder.core.fleet.PlacementQuery;
 import org.rattanrudder.core.fleet.RelayLoad;
@@ -46,10 +46,10 @@
     private final ModelTally tally;
     private final Fleet fleet = new Fleet();
     private final ReportSchedule schedule = new ReportSchedule();
-    private final HoldingLine<ModelRequest> line = new HoldingLine<>();
+    private final HoldingQueue<ModelRequest> line = new HoldingQueue<>();
     private final List<ModelRelay> peers = new ArrayList<>();
     private final Set<Target> unsaid = new LinkedHashSet<>();
-    private final Map<ModelRequest, HoldingLine.Place<ModelRequest>> places = new HashMap<>();
+    private final Map<ModelRequest, HoldingQueue.Place<ModelRequest>> places = new HashMap<>();
     private long sequence;
     private long rounds;
     private boolean soon;
@@ -183,7 +183,7 @@
         long now = time.millis();
         long onTimeUntil = request.arrivedAt() + (long) (request.kind().objectiveMillis() * policy.heldShare());
         long lateUntil = request.arrivedAt() + (long) (request.kind().objectiveMillis() * policy.lateShare());
-        HoldingLine.Place<ModelRequest> place = line.join(
+        HoldingQueue.Place<ModelRequest> place = line.join(
                 request,
                 request.kind().rank(),
                 request.tokens(),
@@ -196,7 +196,7 @@
     }
 
     private void expire() {
-        long allowed = HoldingLine.lateTokensAllowed(engines.size(), 1 + peers.size());
+        long allowed = HoldingQueue.lateTokensAllowed(engines.size(), 1 + peers.size());
         line.expire(time.millis(), allowed).forEach(place -> {
             places.remove(place.request());
             place.request().refused();
@@ -234,7 +234,7 @@
     }
 
     private void send(ModelRequest request, Target target) {
-        HoldingLine.Place<ModelRequest> place = places.remove(request);
+        HoldingQueue.Place<ModelRequest> place = places.remove(request);
         if (place != null) {
             line.leave(place);
         }
