--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
@@ -33,12 +33,14 @@
      */
     private static final long LATE_TOKENS_PER_ENGINE = 40_000;
 
-    private final TreeSet<Place<T>> onTime = new TreeSet<>(Comparator.<Place<T>>comparingInt(Place::rank)
-            .thenComparingLong(Place::onTimeUntilMillis)
-            .thenComparingLong(Place::number));
-    private final TreeSet<Place<T>> late = new TreeSet<>(Comparator.<Place<T>>comparingInt(Place::rank)
-            .thenComparingLong(Place::deadlineMillis)
-            .thenComparingLong(Place::number));
+    private final TreeSet<QueuedRequest<T>> onTime =
+            new TreeSet<>(Comparator.<QueuedRequest<T>>comparingInt(QueuedRequest::rank)
+                    .thenComparingLong(QueuedRequest::onTimeUntilMillis)
+                    .thenComparingLong(QueuedRequest::number));
+    private final TreeSet<QueuedRequest<T>> late =
+            new TreeSet<>(Comparator.<QueuedRequest<T>>comparingInt(QueuedRequest::rank)
+                    .thenComparingLong(QueuedRequest::deadlineMillis)
+                    .thenComparingLong(QueuedRequest::number));
     private long lateTokens;
     private long numbers;
 
@@ -68,7 +70,7 @@
      * @param number tells places apart
      * @param <T> a request
      */
-    public record Place<T>(
+    public record QueuedRequest<T>(
             T request,
             int rank,
             int tokens,
@@ -78,23 +80,23 @@
             long number) {}
 
     /** Joins the line. */
-    public Place<T> join(
+    public QueuedRequest<T> join(
             T request, int rank, int tokens, long onTimeUntilMillis, long lateUntilMillis, long deadlineMillis) {
-        Place<T> place =
-                new Place<>(request, rank, tokens, onTimeUntilMillis, lateUntilMillis, deadlineMillis, numbers++);
+        QueuedRequest<T> place = new QueuedRequest<>(
+                request, rank, tokens, onTimeUntilMillis, lateUntilMillis, deadlineMillis, numbers++);
         onTime.add(place);
         return place;
     }
 
     /** Leaves the line. */
-    public void leave(Place<T> place) {
+    public void leave(QueuedRequest<T> place) {
         if (!onTime.remove(place) && late.remove(place)) {
             lateTokens -= place.tokens();
         }
     }
 
     /** Returns the place whose turn it is. */
-    public Optional<Place<T>> first() {
+    public Optional<QueuedRequest<T>> first() {
         if (!onTime.isEmpty()) {
             return Optional.of(onTime.first());
         }
@@ -107,7 +109,7 @@
      * @param takes returns whether a request was sent; it must have left the line then
      */
     public void offer(Predicate<T> takes) {
-        Optional<Place<T>> first = first();
+        Optional<QueuedRequest<T>> first = first();
         while (first.isPresent() && takes.test(first.get().request())) {
             first = first();
         }
@@ -119,15 +121,15 @@
      *
      * @param lateTokensAllowed the tokens of late requests that may wait
      */
-    public List<Place<T>> expire(long nowMillis, long lateTokensAllowed) {
-        List<Place<T>> refused = new ArrayList<>(late.stream()
+    public List<QueuedRequest<T>> expire(long nowMillis, long lateTokensAllowed) {
+        List<QueuedRequest<T>> refused = new ArrayList<>(late.stream()
                 .filter(place -> place.lateUntilMillis() <= nowMillis)
                 .toList());
         refused.forEach(this::leave);
-        List<Place<T>> expired = onTime.stream()
+        List<QueuedRequest<T>> expired = onTime.stream()
                 .filter(place -> place.onTimeUntilMillis() <= nowMillis)
                 .toList();
-        for (Place<T> place : expired) {
+        for (QueuedRequest<T> place : expired) {
             onTime.remove(place);
             if (lateTokens + place.tokens() > lateTokensAllowed) {
                 refused.add(place);
@@ -140,7 +142,7 @@
     }
 
     /** Returns whether a place is among the late ones. */
-    public boolean isLate(Place<T> place) {
+    public boolean isLate(QueuedRequest<T> place) {
         return late.contains(place);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/HoldingLineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/HoldingLineTest.java
@@ -17,9 +17,15 @@
         line.join("soon", 1, 100, 200, 2_000, 4_000);
         line.join("urgent", 0, 100, 900, 2_000, 4_000);
 
-        assertThat(line.first()).get().extracting(HoldingQueue.Place::request).isEqualTo("urgent");
+        assertThat(line.first())
+                .get()
+                .extracting(HoldingQueue.QueuedRequest::request)
+                .isEqualTo("urgent");
         line.leave(line.first().orElseThrow());
-        assertThat(line.first()).get().extracting(HoldingQueue.Place::request).isEqualTo("soon");
+        assertThat(line.first())
+                .get()
+                .extracting(HoldingQueue.QueuedRequest::request)
+                .isEqualTo("soon");
     }
 
     /**
@@ -34,11 +40,17 @@
         line.join("on time", 3, 9_000, 500, 2_000, 4_000);
 
         assertThat(line.expire(200, LATE_TOKENS))
-                .extracting(HoldingQueue.Place::request)
+                .extracting(HoldingQueue.QueuedRequest::request)
                 .containsExactly("third late");
-        assertThat(line.first()).get().extracting(HoldingQueue.Place::request).isEqualTo("on time");
+        assertThat(line.first())
+                .get()
+                .extracting(HoldingQueue.QueuedRequest::request)
+                .isEqualTo("on time");
         line.leave(line.first().orElseThrow());
-        assertThat(line.first()).get().extracting(HoldingQueue.Place::request).isEqualTo("first late");
+        assertThat(line.first())
+                .get()
+                .extracting(HoldingQueue.QueuedRequest::request)
+                .isEqualTo("first late");
         line.leave(line.first().orElseThrow());
         line.join("fourth late", 0, 9_000, 210, 2_000, 4_000);
         assertThat(line.expire(300, LATE_TOKENS)).isEmpty();
@@ -69,15 +81,15 @@
         assertThat(line.expire(100, 40_000)).isEmpty();
 
         assertThat(line.expire(1_000, 40_000))
-                .extracting(HoldingQueue.Place::request)
+                .extracting(HoldingQueue.QueuedRequest::request)
                 .containsExactly("late");
 
         assertThat(line.size()).isEqualTo(1);
         assertThat(line.expire(1_099, 40_000)).isEmpty();
-        HoldingQueue.Place<String> next = line.join("next", 0, 31_000, 1_050, 2_000, 4_000);
+        HoldingQueue.QueuedRequest<String> next = line.join("next", 0, 31_000, 1_050, 2_000, 4_000);
         assertThat(line.expire(1_100, 40_000))
                 .as("room of those that left is free")
-                .extracting(HoldingQueue.Place::request)
+                .extracting(HoldingQueue.QueuedRequest::request)
                 .containsExactly("later");
         assertThat(line.isLate(next)).isTrue();
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
@@ -10,7 +10,7 @@
     private final RequestPlan plan;
     private final Exchange exchange;
     private final ExchangeLog log;
-    private HoldingQueue.Place<Exchange> place;
+    private HoldingQueue.QueuedRequest<Exchange> place;
     private ScheduledFuture<?> expiry;
 
     LineWait(RelayState state, RequestPlan plan, Exchange exchange, ExchangeLog log) {
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -49,7 +49,7 @@
     private final HoldingQueue<ModelRequest> line = new HoldingQueue<>();
     private final List<ModelRelay> peers = new ArrayList<>();
     private final Set<Target> unsaid = new LinkedHashSet<>();
-    private final Map<ModelRequest, HoldingQueue.Place<ModelRequest>> places = new HashMap<>();
+    private final Map<ModelRequest, HoldingQueue.QueuedRequest<ModelRequest>> places = new HashMap<>();
     private long sequence;
     private long rounds;
     private boolean soon;
@@ -183,7 +183,7 @@
         long now = time.millis();
         long onTimeUntil = request.arrivedAt() + (long) (request.kind().objectiveMillis() * policy.heldShare());
         long lateUntil = request.arrivedAt() + (long) (request.kind().objectiveMillis() * policy.lateShare());
-        HoldingQueue.Place<ModelRequest> place = line.join(
+        HoldingQueue.QueuedRequest<ModelRequest> place = line.join(
                 request,
                 request.kind().rank(),
                 request.tokens(),
@@ -234,7 +234,7 @@
     }
 
     private void send(ModelRequest request, Target target) {
-        HoldingQueue.Place<ModelRequest> place = places.remove(request);
+        HoldingQueue.QueuedRequest<ModelRequest> place = places.remove(request);
         if (place != null) {
             line.leave(place);
         }
