--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
@@ -34,11 +34,11 @@
     private static final long LATE_TOKENS_PER_ENGINE = 40_000;
 
     private final TreeSet<QueuedRequest<T>> onTime =
-            new TreeSet<>(Comparator.<QueuedRequest<T>>comparingInt(QueuedRequest::rank)
+            new TreeSet<>(Comparator.<QueuedRequest<T>>comparingInt(QueuedRequest::priority)
                     .thenComparingLong(QueuedRequest::onTimeUntilMillis)
                     .thenComparingLong(QueuedRequest::number));
     private final TreeSet<QueuedRequest<T>> late =
-            new TreeSet<>(Comparator.<QueuedRequest<T>>comparingInt(QueuedRequest::rank)
+            new TreeSet<>(Comparator.<QueuedRequest<T>>comparingInt(QueuedRequest::priority)
                     .thenComparingLong(QueuedRequest::deadlineMillis)
                     .thenComparingLong(QueuedRequest::number));
     private long lateTokens;
@@ -62,7 +62,7 @@
      * A place in the line.
      *
      * @param request who waits
-     * @param rank its priority, 0 first
+     * @param priority its priority, 0 first
      * @param tokens its size, in tokens
      * @param onTimeUntilMillis when it must be sent to be on time
      * @param lateUntilMillis how long it waits once it is late; it is refused then
@@ -72,7 +72,7 @@
      */
     public record QueuedRequest<T>(
             T request,
-            int rank,
+            int priority,
             int tokens,
             long onTimeUntilMillis,
             long lateUntilMillis,
