--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
@@ -36,11 +36,11 @@
     private final TreeSet<QueuedRequest<T>> onTime =
             new TreeSet<>(Comparator.<QueuedRequest<T>>comparingInt(QueuedRequest::priority)
                     .thenComparingLong(QueuedRequest::onTimeUntilMillis)
-                    .thenComparingLong(QueuedRequest::number));
+                    .thenComparingLong(QueuedRequest::sequence));
     private final TreeSet<QueuedRequest<T>> late =
             new TreeSet<>(Comparator.<QueuedRequest<T>>comparingInt(QueuedRequest::priority)
                     .thenComparingLong(QueuedRequest::deadlineMillis)
-                    .thenComparingLong(QueuedRequest::number));
+                    .thenComparingLong(QueuedRequest::sequence));
     private long lateTokens;
     private long numbers;
 
@@ -67,7 +67,7 @@
      * @param onTimeUntilMillis when it must be sent to be on time
      * @param lateUntilMillis how long it waits once it is late; it is refused then
      * @param deadlineMillis when nobody waits for it any more
-     * @param number tells places apart
+     * @param sequence tells places apart
      * @param <T> a request
      */
     public record QueuedRequest<T>(
@@ -77,7 +77,7 @@
             long onTimeUntilMillis,
             long lateUntilMillis,
             long deadlineMillis,
-            long number) {}
+            long sequence) {}
 
     /** Joins the line. */
     public QueuedRequest<T> join(
