--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
@@ -80,7 +80,7 @@
             long sequence) {}
 
     /** Joins the line. */
-    public QueuedRequest<T> join(
+    public QueuedRequest<T> add(
             T request, int rank, int tokens, long onTimeUntilMillis, long lateUntilMillis, long deadlineMillis) {
         QueuedRequest<T> place = new QueuedRequest<>(
                 request, rank, tokens, onTimeUntilMillis, lateUntilMillis, deadlineMillis, numbers++);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/HoldingLineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/HoldingLineTest.java
@@ -13,9 +13,9 @@
 
     @Test
     void theMoreUrgentRankGoesFirstThenTheLeastTime() {
-        line.join("later", 1, 100, 300, 2_000, 4_000);
-        line.join("soon", 1, 100, 200, 2_000, 4_000);
-        line.join("urgent", 0, 100, 900, 2_000, 4_000);
+        line.add("later", 1, 100, 300, 2_000, 4_000);
+        line.add("soon", 1, 100, 200, 2_000, 4_000);
+        line.add("urgent", 0, 100, 900, 2_000, 4_000);
 
         assertThat(line.first())
                 .get()
@@ -34,10 +34,10 @@
      */
     @Test
     void lateRequestsGoBehindAndTheirNumberIsBounded() {
-        line.join("first late", 0, 9_000, 100, 2_000, 4_000);
-        line.join("second late", 0, 9_000, 110, 2_000, 4_000);
-        line.join("third late", 0, 9_000, 120, 2_000, 4_000);
-        line.join("on time", 3, 9_000, 500, 2_000, 4_000);
+        line.add("first late", 0, 9_000, 100, 2_000, 4_000);
+        line.add("second late", 0, 9_000, 110, 2_000, 4_000);
+        line.add("third late", 0, 9_000, 120, 2_000, 4_000);
+        line.add("on time", 3, 9_000, 500, 2_000, 4_000);
 
         assertThat(line.expire(200, LATE_TOKENS))
                 .extracting(HoldingQueue.QueuedRequest::request)
@@ -52,7 +52,7 @@
                 .extracting(HoldingQueue.QueuedRequest::request)
                 .isEqualTo("first late");
         line.leave(line.first().orElseThrow());
-        line.join("fourth late", 0, 9_000, 210, 2_000, 4_000);
+        line.add("fourth late", 0, 9_000, 210, 2_000, 4_000);
         assertThat(line.expire(300, LATE_TOKENS)).isEmpty();
         assertThat(line.size()).isEqualTo(2);
     }
@@ -76,8 +76,8 @@
     @Test
     void whatWaitsTooLongAmongTheLateIsRefused() {
         HoldingQueue<String> line = new HoldingQueue<>();
-        line.join("late", 0, 9_000, 100, 1_000, 4_000);
-        line.join("later", 0, 9_000, 100, 1_100, 4_000);
+        line.add("late", 0, 9_000, 100, 1_000, 4_000);
+        line.add("later", 0, 9_000, 100, 1_100, 4_000);
         assertThat(line.expire(100, 40_000)).isEmpty();
 
         assertThat(line.expire(1_000, 40_000))
@@ -86,7 +86,7 @@
 
         assertThat(line.size()).isEqualTo(1);
         assertThat(line.expire(1_099, 40_000)).isEmpty();
-        HoldingQueue.QueuedRequest<String> next = line.join("next", 0, 31_000, 1_050, 2_000, 4_000);
+        HoldingQueue.QueuedRequest<String> next = line.add("next", 0, 31_000, 1_050, 2_000, 4_000);
         assertThat(line.expire(1_100, 40_000))
                 .as("room of those that left is free")
                 .extracting(HoldingQueue.QueuedRequest::request)
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
@@ -30,7 +30,7 @@
         long now = state.now();
         long onTimeUntil = Math.max(now, plan.onTimeUntil());
         long lateUntil = letDown ? now + plan.route().objectiveMillis() : Math.max(now, plan.lateUntil());
-        place = line.join(exchange, plan.rank(), plan.tokens(), onTimeUntil, lateUntil, plan.deadlineAt());
+        place = line.add(exchange, plan.rank(), plan.tokens(), onTimeUntil, lateUntil, plan.deadlineAt());
         long millis = Math.max(1, onTimeUntil - now);
         expiry = state.loop().schedule(() -> late(lateUntil), millis, TimeUnit.MILLISECONDS);
         log.held(line.size(), millis, state.fleet().activeTargets(plan.service(), now), now);
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -183,7 +183,7 @@
         long now = time.millis();
         long onTimeUntil = request.arrivedAt() + (long) (request.kind().objectiveMillis() * policy.heldShare());
         long lateUntil = request.arrivedAt() + (long) (request.kind().objectiveMillis() * policy.lateShare());
-        HoldingQueue.QueuedRequest<ModelRequest> place = line.join(
+        HoldingQueue.QueuedRequest<ModelRequest> place = line.add(
                 request,
                 request.kind().rank(),
                 request.tokens(),
