--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
@@ -89,7 +89,7 @@
     }
 
     /** Leaves the line. */
-    public void leave(QueuedRequest<T> place) {
+    public void remove(QueuedRequest<T> place) {
         if (!onTime.remove(place) && late.remove(place)) {
             lateTokens -= place.tokens();
         }
@@ -125,7 +125,7 @@
         List<QueuedRequest<T>> refused = new ArrayList<>(late.stream()
                 .filter(place -> place.lateUntilMillis() <= nowMillis)
                 .toList());
-        refused.forEach(this::leave);
+        refused.forEach(this::remove);
         List<QueuedRequest<T>> expired = onTime.stream()
                 .filter(place -> place.onTimeUntilMillis() <= nowMillis)
                 .toList();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/HoldingLineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/HoldingLineTest.java
@@ -21,7 +21,7 @@
                 .get()
                 .extracting(HoldingQueue.QueuedRequest::request)
                 .isEqualTo("urgent");
-        line.leave(line.first().orElseThrow());
+        line.remove(line.first().orElseThrow());
         assertThat(line.first())
                 .get()
                 .extracting(HoldingQueue.QueuedRequest::request)
@@ -46,12 +46,12 @@
                 .get()
                 .extracting(HoldingQueue.QueuedRequest::request)
                 .isEqualTo("on time");
-        line.leave(line.first().orElseThrow());
+        line.remove(line.first().orElseThrow());
         assertThat(line.first())
                 .get()
                 .extracting(HoldingQueue.QueuedRequest::request)
                 .isEqualTo("first late");
-        line.leave(line.first().orElseThrow());
+        line.remove(line.first().orElseThrow());
         line.add("fourth late", 0, 9_000, 210, 2_000, 4_000);
         assertThat(line.expire(300, LATE_TOKENS)).isEmpty();
         assertThat(line.size()).isEqualTo(2);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
@@ -46,7 +46,7 @@
     /** Leaves the line if it is there. */
     void leave() {
         if (place != null) {
-            state.line(plan.service()).leave(place);
+            state.line(plan.service()).remove(place);
             expiry.cancel(false);
             place = null;
         }
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -236,7 +236,7 @@
     private void send(ModelRequest request, Target target) {
         HoldingQueue.QueuedRequest<ModelRequest> place = places.remove(request);
         if (place != null) {
-            line.leave(place);
+            line.remove(place);
         }
         Target.Work expected = new Target.Work(request.tokens(), request.promptTokens());
         if (policy.countPlaced()) {
