--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
@@ -108,7 +108,7 @@
      *
      * @param takes returns whether a request was sent; it must have left the line then
      */
-    public void offer(Predicate<T> takes) {
+    public void dispatchWhile(Predicate<T> takes) {
         Optional<QueuedRequest<T>> first = first();
         while (first.isPresent() && takes.test(first.get().request())) {
             first = first();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -212,7 +212,7 @@
         }
         loop.execute(() -> {
             linesBeingDrained.remove(service);
-            line.offer(Exchange::placeInWindow);
+            line.dispatchWhile(Exchange::placeInWindow);
         });
     }
 
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -205,7 +205,7 @@
     }
 
     private void drain() {
-        line.offer(this::sendIfRoom);
+        line.dispatchWhile(this::sendIfRoom);
     }
 
     private boolean sendIfRoom(ModelRequest request) {
