--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
@@ -19,7 +19,7 @@
  */
 public final class HoldingQueue<T> {
     /** The part of the objective that a request waits to be on time; what is left must do for reading its prompt. */
-    public static final double HELD_SHARE = 0.5;
+    public static final double ON_TIME_WAIT_RATIO = 0.5;
 
     /**
      * How long a late request waits, as a multiple of the objective: its caller leaves at four times that, and one that
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -141,7 +141,7 @@
 
     /** Returns until when it must be sent to be on time. */
     long onTimeUntil() {
-        return arrivedAt + (long) (route.objectiveMillis() * HoldingQueue.HELD_SHARE);
+        return arrivedAt + (long) (route.objectiveMillis() * HoldingQueue.ON_TIME_WAIT_RATIO);
     }
 
     /** Returns until when it waits in line once it can't be on time. */
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelPolicy.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelPolicy.java
@@ -49,7 +49,7 @@
         private boolean endsToo;
         private boolean countPlaced = true;
         private boolean ownOrder = true;
-        private double heldShare = HoldingQueue.HELD_SHARE;
+        private double heldShare = HoldingQueue.ON_TIME_WAIT_RATIO;
         private double lateShare = HoldingQueue.LATE_SHARE;
 
         Change messages(long everyMillis, int toFarOnesEvery) {
