--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
@@ -25,7 +25,7 @@
      * How long a late request waits, as a multiple of the objective: its caller leaves at four times that, and one that
      * is told sooner to come back may be on time then.
      */
-    public static final double LATE_SHARE = 2;
+    public static final double LATE_WAIT_RATIO = 2;
 
     /**
      * Tokens of late requests that may wait for each engine, at all relays together: about two thirds of its memory, so
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -146,7 +146,7 @@
 
     /** Returns until when it waits in line once it can't be on time. */
     long lateUntil() {
-        return arrivedAt + (long) (route.objectiveMillis() * HoldingQueue.LATE_SHARE);
+        return arrivedAt + (long) (route.objectiveMillis() * HoldingQueue.LATE_WAIT_RATIO);
     }
 
     /** Returns how long a healthy target needs to the first byte, in ms. */
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelPolicy.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelPolicy.java
@@ -50,7 +50,7 @@
         private boolean countPlaced = true;
         private boolean ownOrder = true;
         private double heldShare = HoldingQueue.ON_TIME_WAIT_RATIO;
-        private double lateShare = HoldingQueue.LATE_SHARE;
+        private double lateShare = HoldingQueue.LATE_WAIT_RATIO;
 
         Change messages(long everyMillis, int toFarOnesEvery) {
             wholeEveryMillis = everyMillis;
