--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
@@ -54,7 +54,7 @@
      * @param engines how many engines the service has
      * @param relays how many relays wait for them, this one included
      */
-    public static long lateTokensAllowed(int engines, int relays) {
+    public static long maxLateTokens(int engines, int relays) {
         return Math.max(1, engines) * LATE_TOKENS_PER_ENGINE / Math.max(1, relays);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/HoldingLineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/HoldingLineTest.java
@@ -64,7 +64,7 @@
     @ParameterizedTest
     @CsvSource({"6, 3", "8, 6", "35, 27", "40, 31", "1000, 130"})
     void whatWaitsAtAllRelaysTogetherDoesNotGrowWithTheirNumber(int engines, int relays) {
-        long together = relays * HoldingQueue.lateTokensAllowed(engines, relays);
+        long together = relays * HoldingQueue.maxLateTokens(engines, relays);
 
         assertThat(together / engines).isBetween(35_000L, 40_000L);
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -199,7 +199,7 @@
         HoldingQueue<Exchange> line = line(service);
         long now = now();
         long allowed =
-                HoldingQueue.lateTokensAllowed(fleet.activeTargets(service, now).size(), relays(now));
+                HoldingQueue.maxLateTokens(fleet.activeTargets(service, now).size(), relays(now));
         line.expire(now, allowed).forEach(refused -> refused.request().refuseFromLine());
         drainLine(service);
     }
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -196,7 +196,7 @@
     }
 
     private void expire() {
-        long allowed = HoldingQueue.lateTokensAllowed(engines.size(), 1 + peers.size());
+        long allowed = HoldingQueue.maxLateTokens(engines.size(), 1 + peers.size());
         line.expire(time.millis(), allowed).forEach(place -> {
             places.remove(place.request());
             place.request().refused();
