--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.rattanrudder.core.fleet.RelayLoad.ServedWeights;
+import org.rattanrudder.core.fleet.LoadReport.ServedWeights;
 
 /**
  * The targets that are known, from a keyed log of their entries.
@@ -147,7 +147,7 @@
     }
 
     /** Takes what another relay says of its work. */
-    public void applyLoadReport(RelayLoad load, long nowMillis) {
+    public void applyLoadReport(LoadReport load, long nowMillis) {
         livePeerCount.heard(load, nowMillis);
         load.loading().forEach(id -> find(id).ifPresent(target -> target.swapping(nowMillis + LOADING_TOLD_MILLIS)));
         for (ServedWeights served : load.served()) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/RelayLoad.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
@@ -19,7 +19,7 @@
  * @param late how late fetches from context stores were since it last told the same relay of all its work
  * @param everyMillis the time until it next tells the same relay of all its work; 0 if only changed work is told
  */
-public record RelayLoad(
+public record LoadReport(
         String relay,
         long sequence,
         boolean whole,
@@ -33,7 +33,7 @@
         List<StoreLateness> late,
         long everyMillis) {
     /** Takes copies of the lists. */
-    public RelayLoad {
+    public LoadReport {
         targets = List.copyOf(targets);
         weights = List.copyOf(weights);
         served = List.copyOf(served);
@@ -43,16 +43,16 @@
     }
 
     /** Returns a message that tells of work, readiness and reading alone. */
-    public static RelayLoad ofWork(
+    public static LoadReport ofWork(
             String relay, long sequence, boolean whole, List<TargetLoad> targets, boolean ready, ReadTo readTo) {
-        return new RelayLoad(
+        return new LoadReport(
                 relay, sequence, whole, targets, List.of(), List.of(), List.of(), List.of(), ready, readTo, List.of(),
                 0);
     }
 
     /** Returns the same message for relays that are told this often, with how late fetches were meanwhile. */
-    public RelayLoad every(long millis, List<StoreLateness> newLate) {
-        return new RelayLoad(
+    public LoadReport every(long millis, List<StoreLateness> newLate) {
+        return new LoadReport(
                 relay, sequence, whole, targets, weights, served, loading, unreachable, ready, readTo, newLate, millis);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/PeerLoads.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/PeerLoads.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
-import org.rattanrudder.core.fleet.RelayLoad.TargetLoad;
+import org.rattanrudder.core.fleet.LoadReport.TargetLoad;
 
 /**
  * What the other relays said of their work at the targets.
@@ -37,7 +37,7 @@
     }
 
     /** Takes a message; one that is older than what is known is dropped. */
-    public void heard(RelayLoad load, long nowMillis) {
+    public void heard(LoadReport load, long nowMillis) {
         Heard known = relays.get(load.relay());
         if (known != null && known.sequence() >= load.sequence()) {
             return;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Placement.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Placement.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.rattanrudder.core.fleet.RelayLoad.TargetLoad;
+import org.rattanrudder.core.fleet.LoadReport.TargetLoad;
 import org.rattanrudder.core.gateway.EngineTraits;
 import org.rattanrudder.core.routing.Hashing;
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/SendWindow.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/SendWindow.java
@@ -1,7 +1,7 @@
 package org.rattanrudder.core.fleet;
 
 import java.util.List;
-import org.rattanrudder.core.fleet.RelayLoad.TargetLoad;
+import org.rattanrudder.core.fleet.LoadReport.TargetLoad;
 import org.rattanrudder.core.gateway.EngineTraits;
 
 /**
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.rattanrudder.core.fleet.RelayLoad.ServedWeights;
-import org.rattanrudder.core.fleet.RelayLoad.TargetLoad;
+import org.rattanrudder.core.fleet.LoadReport.ServedWeights;
+import org.rattanrudder.core.fleet.LoadReport.TargetLoad;
 import org.rattanrudder.core.routing.Hashing;
 
 /**
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -10,8 +10,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import org.rattanrudder.core.fleet.RelayLoad.ReadTo;
-import org.rattanrudder.core.fleet.RelayLoad.TargetLoad;
+import org.rattanrudder.core.fleet.LoadReport.ReadTo;
+import org.rattanrudder.core.fleet.LoadReport.TargetLoad;
 import org.rattanrudder.core.gateway.EngineTraits;
 
 class PeerLoadsTest {
@@ -137,7 +137,7 @@
         fleet.apply("i-1", Optional.of(FleetTest.entry("i-1", false)), 1, NOW);
 
         fleet.applyLoadReport(
-                new RelayLoad(
+                new LoadReport(
                         "a",
                         1,
                         true,
@@ -183,7 +183,7 @@
         seen.confirmWeights("m", 2, NOW);
 
         fleet.applyLoadReport(
-                new RelayLoad(
+                new LoadReport(
                         "a",
                         1,
                         true,
@@ -241,11 +241,11 @@
         }
     }
 
-    private static RelayLoad load(String relay, long sequence, TargetLoad... targets) {
-        return RelayLoad.ofWork(relay, sequence, true, List.of(targets), true, new ReadTo(0, 0, 0));
+    private static LoadReport load(String relay, long sequence, TargetLoad... targets) {
+        return LoadReport.ofWork(relay, sequence, true, List.of(targets), true, new ReadTo(0, 0, 0));
     }
 
-    private static RelayLoad sent(String relay, long sequence, TargetLoad... targets) {
-        return RelayLoad.ofWork(relay, sequence, false, List.of(targets), true, new ReadTo(0, 0, 0));
+    private static LoadReport sent(String relay, long sequence, TargetLoad... targets) {
+        return LoadReport.ofWork(relay, sequence, false, List.of(targets), true, new ReadTo(0, 0, 0));
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -17,11 +17,11 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.rattanrudder.core.fleet.RelayLoad;
-import org.rattanrudder.core.fleet.RelayLoad.KnownWeights;
-import org.rattanrudder.core.fleet.RelayLoad.ReadTo;
-import org.rattanrudder.core.fleet.RelayLoad.ServedWeights;
-import org.rattanrudder.core.fleet.RelayLoad.TargetLoad;
+import org.rattanrudder.core.fleet.LoadReport;
+import org.rattanrudder.core.fleet.LoadReport.KnownWeights;
+import org.rattanrudder.core.fleet.LoadReport.ReadTo;
+import org.rattanrudder.core.fleet.LoadReport.ServedWeights;
+import org.rattanrudder.core.fleet.LoadReport.TargetLoad;
 import org.rattanrudder.core.fleet.ReportSchedule;
 import org.rattanrudder.core.fleet.Target;
 import org.rattanrudder.core.model.Address;
@@ -181,7 +181,7 @@
         shareTargets(now);
         List<ReportSchedule.Due> due = schedule.nextRound(now);
         if (!due.isEmpty()) {
-            RelayLoad load = all(now);
+            LoadReport load = all(now);
             for (ReportSchedule.Due group : due) {
                 List<StoreLateness> late = state.fetchNews().ofLast(group.rounds());
                 send(PeerCodec.write(load.every(group.everyMillis(), late)), group.relays());
@@ -197,8 +197,8 @@
         state.fleet().updateRelays(state.settings().instance(), domains);
     }
 
-    private RelayLoad all(long now) {
-        return new RelayLoad(
+    private LoadReport all(long now) {
+        return new LoadReport(
                 self,
                 sequence++,
                 true,
@@ -218,7 +218,7 @@
         List<TargetLoad> changed = sentTo.stream().map(Target::ownLoad).toList();
         Set<String> sharers =
                 sentTo.stream().flatMap(target -> target.sharers().stream()).collect(Collectors.toSet());
-        RelayLoad load = RelayLoad.ofWork(self, sequence++, false, changed, own.ready(), own.readTo());
+        LoadReport load = LoadReport.ofWork(self, sequence++, false, changed, own.ready(), own.readTo());
         send(PeerCodec.write(load), listening(sharers));
     }
 
@@ -294,7 +294,7 @@
             state.log().info("peer_message_dropped", "sender", String.valueOf(sender), "reason", reason);
         }
 
-        private void heard(String relay, RelayLoad load) {
+        private void heard(String relay, LoadReport load) {
             long now = state.now();
             schedule.heard(relay, now);
             state.fleet().applyLoadReport(load, now);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
@@ -16,7 +16,7 @@
 import java.util.jar.JarEntry;
 import java.util.jar.JarFile;
 import java.util.random.RandomGenerator;
-import org.rattanrudder.core.fleet.RelayLoad;
+import org.rattanrudder.core.fleet.LoadReport;
 import org.rattanrudder.core.fleet.ReportSchedule;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.PartEvent;
@@ -70,13 +70,13 @@
 
     /** Writes and reads what relays tell each other. */
     private static void tellAndHear() {
-        RelayLoad load = RelayLoad.ofWork(
+        LoadReport load = LoadReport.ofWork(
                         "rehearsal",
                         1,
                         true,
-                        List.of(new RelayLoad.TargetLoad("target", 1, 1, 1)),
+                        List.of(new LoadReport.TargetLoad("target", 1, 1, 1)),
                         true,
-                        new RelayLoad.ReadTo(1, 1, 1))
+                        new LoadReport.ReadTo(1, 1, 1))
                 .every(ReportSchedule.ROUND_MILLIS, List.of(StoreLateness.of(new Address("127.0.0.1", 1), 1)));
         PeerCodec.read(PeerCodec.write(load));
         StoreNews news = new StoreNews(
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -20,7 +20,7 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 import org.jboss.logging.Logger;
-import org.rattanrudder.core.fleet.RelayLoad.ReadTo;
+import org.rattanrudder.core.fleet.LoadReport.ReadTo;
 import org.rattanrudder.core.fleet.Target;
 import org.rattanrudder.core.fleet.TargetEntry;
 import org.rattanrudder.core.gateway.ContextStore;
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -12,9 +12,9 @@
 import java.util.stream.Collectors;
 import org.rattanrudder.core.fleet.Fleet;
 import org.rattanrudder.core.fleet.HoldingQueue;
+import org.rattanrudder.core.fleet.LoadReport;
 import org.rattanrudder.core.fleet.Placement;
 import org.rattanrudder.core.fleet.PlacementQuery;
-import org.rattanrudder.core.fleet.RelayLoad;
 import org.rattanrudder.core.fleet.ReportSchedule;
 import org.rattanrudder.core.fleet.SendWindow;
 import org.rattanrudder.core.fleet.Target;
@@ -103,7 +103,7 @@
     }
 
     private void tellAll() {
-        List<RelayLoad.TargetLoad> work = fleet.all(time.millis()).stream()
+        List<LoadReport.TargetLoad> work = fleet.all(time.millis()).stream()
                 .filter(target -> target.inFlight() > 0)
                 .map(Target::ownLoad)
                 .toList();
@@ -124,7 +124,7 @@
         if (unsaid.isEmpty()) {
             return;
         }
-        List<RelayLoad.TargetLoad> work = unsaid.stream().map(Target::ownLoad).toList();
+        List<LoadReport.TargetLoad> work = unsaid.stream().map(Target::ownLoad).toList();
         Set<String> sharers =
                 unsaid.stream().flatMap(target -> target.sharers().stream()).collect(Collectors.toSet());
         unsaid.clear();
@@ -137,8 +137,8 @@
                         : policy.atOnceFar() || peer.domain.equals(domain));
     }
 
-    private void tell(boolean whole, List<RelayLoad.TargetLoad> work, long everyMillis, Predicate<ModelRelay> hears) {
-        RelayLoad load = RelayLoad.ofWork(name, sequence++, whole, work, true, new RelayLoad.ReadTo(0, 0, 0))
+    private void tell(boolean whole, List<LoadReport.TargetLoad> work, long everyMillis, Predicate<ModelRelay> hears) {
+        LoadReport load = LoadReport.ofWork(name, sequence++, whole, work, true, new LoadReport.ReadTo(0, 0, 0))
                 .every(everyMillis, List.of());
         for (ModelRelay peer : peers) {
             if (hears.test(peer)) {
@@ -148,7 +148,7 @@
         }
     }
 
-    private void heard(String relay, RelayLoad load) {
+    private void heard(String relay, LoadReport load) {
         schedule.heard(relay, time.millis());
         fleet.applyLoadReport(load, time.millis());
     }
--- a/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
+++ b/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.rattanrudder.core.fleet.RelayLoad;
-import org.rattanrudder.core.fleet.RelayLoad.KnownWeights;
-import org.rattanrudder.core.fleet.RelayLoad.ReadTo;
-import org.rattanrudder.core.fleet.RelayLoad.ServedWeights;
-import org.rattanrudder.core.fleet.RelayLoad.TargetLoad;
+import org.rattanrudder.core.fleet.LoadReport;
+import org.rattanrudder.core.fleet.LoadReport.KnownWeights;
+import org.rattanrudder.core.fleet.LoadReport.ReadTo;
+import org.rattanrudder.core.fleet.LoadReport.ServedWeights;
+import org.rattanrudder.core.fleet.LoadReport.TargetLoad;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.PartEvent;
 import org.rattanrudder.core.parts.PartKey;
@@ -44,7 +44,7 @@
          *
          * @param load the work
          */
-        record Load(RelayLoad load) implements Message {}
+        record Load(LoadReport load) implements Message {}
 
         /**
          * News of a context store.
@@ -55,7 +55,7 @@
     }
 
     /** Returns the message as bytes. */
-    public static byte[] write(RelayLoad load) {
+    public static byte[] write(LoadReport load) {
         RelayLoadMessage.Builder message = RelayLoadMessage.newBuilder()
                 .setRelay(load.relay())
                 .setSequence(load.sequence())
@@ -131,7 +131,7 @@
         }
     }
 
-    private static RelayLoad load(RelayLoadMessage message) {
+    private static LoadReport load(RelayLoadMessage message) {
         List<TargetLoad> targets =
                 message.getTargetsList().stream().map(PeerCodec::targetLoad).toList();
         List<KnownWeights> weights = message.getWeightsList().stream()
@@ -143,7 +143,7 @@
                 .toList();
         ReadTo readTo =
                 new ReadTo(message.getWishesReadTo(), message.getTargetsChangedTo(), message.getQuarantineReadTo());
-        return new RelayLoad(
+        return new LoadReport(
                 message.getRelay(),
                 message.getSequence(),
                 !message.getPartial(),
--- a/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
+++ b/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.rattanrudder.core.fleet.RelayLoad;
-import org.rattanrudder.core.fleet.RelayLoad.KnownWeights;
-import org.rattanrudder.core.fleet.RelayLoad.ReadTo;
-import org.rattanrudder.core.fleet.RelayLoad.ServedWeights;
-import org.rattanrudder.core.fleet.RelayLoad.TargetLoad;
+import org.rattanrudder.core.fleet.LoadReport;
+import org.rattanrudder.core.fleet.LoadReport.KnownWeights;
+import org.rattanrudder.core.fleet.LoadReport.ReadTo;
+import org.rattanrudder.core.fleet.LoadReport.ServedWeights;
+import org.rattanrudder.core.fleet.LoadReport.TargetLoad;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.PartEvent;
 import org.rattanrudder.core.parts.PartKey;
@@ -32,13 +32,13 @@
             @ForAll @LongRange(min = 0) long sequence,
             @ForAll @IntRange(max = 9_000) int requests,
             @ForAll @LongRange(min = 0, max = 1_000_000_000L) long tokens) {
-        RelayLoad load = load(sequence, requests, tokens);
+        LoadReport load = load(sequence, requests, tokens);
 
         assertThat(PeerCodec.read(PeerCodec.write(load))).contains(new PeerCodec.Message.Load(load));
     }
 
-    private static RelayLoad load(long sequence, int requests, long tokens) {
-        return new RelayLoad(
+    private static LoadReport load(long sequence, int requests, long tokens) {
+        return new LoadReport(
                 "relay-1",
                 sequence,
                 sequence % 3 == 0,
@@ -111,7 +111,7 @@
     @ParameterizedTest
     @CsvSource({"-1, 5, 5", "5, -1, 5", "5, 5, -1", "2000000, 5, 5", "5, 9000000000000000, 5"})
     void figuresThatNoRelayHasAreRefused(int requests, long tokens, long unread) {
-        RelayLoad odd = RelayLoad.ofWork(
+        LoadReport odd = LoadReport.ofWork(
                 "relay-1",
                 1,
                 true,
