--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
@@ -8,7 +8,7 @@
  *
  * @param relay the relay and its start
  * @param sequence increases with each message of the relay
- * @param whole whether the targets are all that it has work at, or only those whose work has changed
+ * @param full whether the targets are all that it has work at, or only those whose work has changed
  * @param targets the targets that it has work at
  * @param weights the newest versions of weights that it knows of
  * @param served targets that it lately saw serving other weights than before
@@ -22,7 +22,7 @@
 public record LoadReport(
         String relay,
         long sequence,
-        boolean whole,
+        boolean full,
         List<TargetLoad> targets,
         List<KnownWeights> weights,
         List<ServedWeights> served,
@@ -53,7 +53,7 @@
     /** Returns the same message for relays that are told this often, with how late fetches were meanwhile. */
     public LoadReport every(long millis, List<StoreLateness> newLate) {
         return new LoadReport(
-                relay, sequence, whole, targets, weights, served, loading, unreachable, ready, readTo, newLate, millis);
+                relay, sequence, full, targets, weights, served, loading, unreachable, ready, readTo, newLate, millis);
     }
 
     /**
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/PeerLoads.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/PeerLoads.java
@@ -42,16 +42,16 @@
         if (known != null && known.sequence() >= load.sequence()) {
             return;
         }
-        if (load.whole()) {
+        if (load.full()) {
             // Also what nobody has work at any more: targets come and go.
             sums.clear();
         }
-        Map<String, TargetLoad> targets = load.whole() || known == null ? new HashMap<>() : known.targets();
+        Map<String, TargetLoad> targets = load.full() || known == null ? new HashMap<>() : known.targets();
         for (TargetLoad each : load.targets()) {
             targets.put(each.target(), each);
             sums.remove(each.target());
         }
-        long every = load.whole() || known == null ? load.everyMillis() : known.everyMillis();
+        long every = load.full() || known == null ? load.everyMillis() : known.everyMillis();
         relays.put(load.relay(), new Heard(nowMillis, load.sequence(), load.ready(), every, targets));
     }
 
--- a/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
+++ b/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
@@ -59,7 +59,7 @@
         RelayLoadMessage.Builder message = RelayLoadMessage.newBuilder()
                 .setRelay(load.relay())
                 .setSequence(load.sequence())
-                .setPartial(!load.whole())
+                .setPartial(!load.full())
                 .setWishesReadTo(load.readTo().wishes())
                 .setTargetsChangedTo(load.readTo().targetsChanged())
                 .setQuarantineReadTo(load.readTo().quarantine());
