--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
@@ -43,7 +43,7 @@
     }
 
     /** Returns a message that tells of work, readiness and reading alone. */
-    public static LoadReport ofWork(
+    public static LoadReport ofTargets(
             String relay, long sequence, boolean whole, List<TargetLoad> targets, boolean ready, ReadTo readTo) {
         return new LoadReport(
                 relay, sequence, whole, targets, List.of(), List.of(), List.of(), List.of(), ready, readTo, List.of(),
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -242,10 +242,10 @@
     }
 
     private static LoadReport load(String relay, long sequence, TargetLoad... targets) {
-        return LoadReport.ofWork(relay, sequence, true, List.of(targets), true, new ReadTo(0, 0, 0));
+        return LoadReport.ofTargets(relay, sequence, true, List.of(targets), true, new ReadTo(0, 0, 0));
     }
 
     private static LoadReport sent(String relay, long sequence, TargetLoad... targets) {
-        return LoadReport.ofWork(relay, sequence, false, List.of(targets), true, new ReadTo(0, 0, 0));
+        return LoadReport.ofTargets(relay, sequence, false, List.of(targets), true, new ReadTo(0, 0, 0));
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -218,7 +218,7 @@
         List<TargetLoad> changed = sentTo.stream().map(Target::ownLoad).toList();
         Set<String> sharers =
                 sentTo.stream().flatMap(target -> target.sharers().stream()).collect(Collectors.toSet());
-        LoadReport load = LoadReport.ofWork(self, sequence++, false, changed, own.ready(), own.readTo());
+        LoadReport load = LoadReport.ofTargets(self, sequence++, false, changed, own.ready(), own.readTo());
         send(PeerCodec.write(load), listening(sharers));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
@@ -70,7 +70,7 @@
 
     /** Writes and reads what relays tell each other. */
     private static void tellAndHear() {
-        LoadReport load = LoadReport.ofWork(
+        LoadReport load = LoadReport.ofTargets(
                         "rehearsal",
                         1,
                         true,
--- a/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
+++ b/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
@@ -111,7 +111,7 @@
     @ParameterizedTest
     @CsvSource({"-1, 5, 5", "5, -1, 5", "5, 5, -1", "2000000, 5, 5", "5, 9000000000000000, 5"})
     void figuresThatNoRelayHasAreRefused(int requests, long tokens, long unread) {
-        LoadReport odd = LoadReport.ofWork(
+        LoadReport odd = LoadReport.ofTargets(
                 "relay-1",
                 1,
                 true,
