--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
@@ -51,7 +51,7 @@
     }
 
     /** Returns the same message for relays that are told this often, with how late fetches were meanwhile. */
-    public LoadReport every(long millis, List<StoreLateness> newLate) {
+    public LoadReport withInterval(long millis, List<StoreLateness> newLate) {
         return new LoadReport(
                 relay, sequence, full, targets, weights, served, loading, unreachable, ready, readTo, newLate, millis);
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -85,7 +85,7 @@
     /** Guards against a relay of many that tells rarely and counts as gone in between. */
     @Test
     void theWordOfARelayThatTellsRarelyCountsForLonger() {
-        peers.heard(load("a", 1, new TargetLoad("i-1", 7, 63_000, 0)).every(1_500, List.of()), NOW);
+        peers.heard(load("a", 1, new TargetLoad("i-1", 7, 63_000, 0)).withInterval(1_500, List.of()), NOW);
         peers.heard(sent("a", 2, new TargetLoad("i-1", 8, 64_000, 0)), NOW);
 
         assertThat(peers.at("i-1", NOW + 4_500).requests()).isEqualTo(8);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
@@ -77,7 +77,7 @@
                         List.of(new LoadReport.TargetLoad("target", 1, 1, 1)),
                         true,
                         new LoadReport.ReadTo(1, 1, 1))
-                .every(ReportSchedule.ROUND_MILLIS, List.of(StoreLateness.of(new Address("127.0.0.1", 1), 1)));
+                .withInterval(ReportSchedule.ROUND_MILLIS, List.of(StoreLateness.of(new Address("127.0.0.1", 1), 1)));
         PeerCodec.read(PeerCodec.write(load));
         StoreNews news = new StoreNews(
                 1, 2, false, List.of(new PartEvent(new PartKey("w1", "part"), 1, true)), OptionalLong.of(1));
