--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
@@ -17,7 +17,7 @@
  * @param ready whether it takes new connections
  * @param readTo how far it has read the platform's records
  * @param late how late fetches from context stores were since it last told the same relay of all its work
- * @param everyMillis the time until it next tells the same relay of all its work; 0 if only changed work is told
+ * @param intervalMillis the time until it next tells the same relay of all its work; 0 if only changed work is told
  */
 public record LoadReport(
         String relay,
@@ -31,7 +31,7 @@
         boolean ready,
         ReadTo readTo,
         List<StoreLateness> late,
-        long everyMillis) {
+        long intervalMillis) {
     /** Takes copies of the lists. */
     public LoadReport {
         targets = List.copyOf(targets);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/PeerLoads.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/PeerLoads.java
@@ -51,7 +51,7 @@
             targets.put(each.target(), each);
             sums.remove(each.target());
         }
-        long every = load.full() || known == null ? load.everyMillis() : known.everyMillis();
+        long every = load.full() || known == null ? load.intervalMillis() : known.everyMillis();
         relays.put(load.relay(), new Heard(nowMillis, load.sequence(), load.ready(), every, targets));
     }
 
--- a/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
+++ b/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
@@ -86,7 +86,7 @@
         message.addAllUnreachable(load.unreachable());
         message.setReady(load.ready());
         load.late().forEach(late -> message.addLate(message(late)));
-        message.setEveryMillis((int) load.everyMillis());
+        message.setEveryMillis((int) load.intervalMillis());
         return PeerMessage.newBuilder().setLoad(message).build().toByteArray();
     }
 
--- a/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
+++ b/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
@@ -101,7 +101,7 @@
     }
 
     private static List<Long> figures(PeerCodec.Message.Load message) {
-        List<Long> figures = new ArrayList<>(List.of(message.load().everyMillis()));
+        List<Long> figures = new ArrayList<>(List.of(message.load().intervalMillis()));
         for (TargetLoad target : message.load().targets()) {
             figures.addAll(List.of((long) target.requests(), target.tokens(), target.unread()));
         }
