--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
@@ -15,7 +15,7 @@
  * @param loading targets that it has ordered to load weights, and that take no work meanwhile
  * @param unreachable targets to which it could open no connection lately
  * @param ready whether it takes new connections
- * @param readTo how far it has read the platform's records
+ * @param readOffsets how far it has read the platform's records
  * @param late how late fetches from context stores were since it last told the same relay of all its work
  * @param intervalMillis the time until it next tells the same relay of all its work; 0 if only changed work is told
  */
@@ -29,7 +29,7 @@
         List<String> loading,
         List<String> unreachable,
         boolean ready,
-        ReadTo readTo,
+        ReadTo readOffsets,
         List<StoreLateness> late,
         long intervalMillis) {
     /** Takes copies of the lists. */
@@ -53,7 +53,18 @@
     /** Returns the same message for relays that are told this often, with how late fetches were meanwhile. */
     public LoadReport withInterval(long millis, List<StoreLateness> newLate) {
         return new LoadReport(
-                relay, sequence, full, targets, weights, served, loading, unreachable, ready, readTo, newLate, millis);
+                relay,
+                sequence,
+                full,
+                targets,
+                weights,
+                served,
+                loading,
+                unreachable,
+                ready,
+                readOffsets,
+                newLate,
+                millis);
     }
 
     /**
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -301,7 +301,7 @@
             load.late().forEach(late -> state.directory().fetched(late, now));
             load.weights()
                     .forEach(known -> state.weights().known(known.model(), known.version(), known.ageMillis(), now));
-            listener.readTo(load.readTo());
+            listener.readTo(load.readOffsets());
             listener.unreachable(load.unreachable());
         }
 
--- a/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
+++ b/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
@@ -60,9 +60,9 @@
                 .setRelay(load.relay())
                 .setSequence(load.sequence())
                 .setPartial(!load.full())
-                .setWishesReadTo(load.readTo().wishes())
-                .setTargetsChangedTo(load.readTo().targetsChanged())
-                .setQuarantineReadTo(load.readTo().quarantine());
+                .setWishesReadTo(load.readOffsets().wishes())
+                .setTargetsChangedTo(load.readOffsets().targetsChanged())
+                .setQuarantineReadTo(load.readOffsets().quarantine());
         for (TargetLoad target : load.targets()) {
             message.addTargets(TargetLoadMessage.newBuilder()
                     .setTarget(target.target())
