--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
@@ -16,7 +16,7 @@
  * @param unreachable targets to which it could open no connection lately
  * @param ready whether it takes new connections
  * @param readOffsets how far it has read the platform's records
- * @param late how late fetches from context stores were since it last told the same relay of all its work
+ * @param storeLateness how late fetches from context stores were since it last told the same relay of all its work
  * @param intervalMillis the time until it next tells the same relay of all its work; 0 if only changed work is told
  */
 public record LoadReport(
@@ -30,7 +30,7 @@
         List<String> unreachable,
         boolean ready,
         ReadTo readOffsets,
-        List<StoreLateness> late,
+        List<StoreLateness> storeLateness,
         long intervalMillis) {
     /** Takes copies of the lists. */
     public LoadReport {
@@ -39,7 +39,7 @@
         served = List.copyOf(served);
         loading = List.copyOf(loading);
         unreachable = List.copyOf(unreachable);
-        late = List.copyOf(late);
+        storeLateness = List.copyOf(storeLateness);
     }
 
     /** Returns a message that tells of work, readiness and reading alone. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -298,7 +298,7 @@
             long now = state.now();
             schedule.heard(relay, now);
             state.fleet().applyLoadReport(load, now);
-            load.late().forEach(late -> state.directory().fetched(late, now));
+            load.storeLateness().forEach(late -> state.directory().fetched(late, now));
             load.weights()
                     .forEach(known -> state.weights().known(known.model(), known.version(), known.ageMillis(), now));
             listener.readTo(load.readOffsets());
--- a/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
+++ b/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
@@ -85,7 +85,7 @@
         message.addAllLoading(load.loading());
         message.addAllUnreachable(load.unreachable());
         message.setReady(load.ready());
-        load.late().forEach(late -> message.addLate(message(late)));
+        load.storeLateness().forEach(late -> message.addLate(message(late)));
         message.setEveryMillis((int) load.intervalMillis());
         return PeerMessage.newBuilder().setLoad(message).build().toByteArray();
     }
