--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
@@ -29,7 +29,7 @@
         List<String> loading,
         List<String> unreachable,
         boolean ready,
-        ReadTo readOffsets,
+        ReadOffsets readOffsets,
         List<StoreLateness> storeLateness,
         long intervalMillis) {
     /** Takes copies of the lists. */
@@ -44,7 +44,7 @@
 
     /** Returns a message that tells of work, readiness and reading alone. */
     public static LoadReport ofTargets(
-            String relay, long sequence, boolean whole, List<TargetLoad> targets, boolean ready, ReadTo readTo) {
+            String relay, long sequence, boolean whole, List<TargetLoad> targets, boolean ready, ReadOffsets readTo) {
         return new LoadReport(
                 relay, sequence, whole, targets, List.of(), List.of(), List.of(), List.of(), ready, readTo, List.of(),
                 0);
@@ -75,7 +75,7 @@
      *     weights
      * @param quarantine the offset up to which it has read, or written, what is held against requests
      */
-    public record ReadTo(long wishes, long targetsChanged, long quarantine) {}
+    public record ReadOffsets(long wishes, long targetsChanged, long quarantine) {}
 
     /**
      * The weights that a target serves.
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import org.rattanrudder.core.fleet.LoadReport.ReadTo;
+import org.rattanrudder.core.fleet.LoadReport.ReadOffsets;
 import org.rattanrudder.core.fleet.LoadReport.TargetLoad;
 import org.rattanrudder.core.gateway.EngineTraits;
 
@@ -147,7 +147,7 @@
                         List.of("i-1"),
                         List.of(),
                         true,
-                        new ReadTo(0, 0, 0),
+                        new ReadOffsets(0, 0, 0),
                         List.of(),
                         0),
                 NOW);
@@ -193,7 +193,7 @@
                         List.of(),
                         List.of(),
                         true,
-                        new ReadTo(0, 0, 0),
+                        new ReadOffsets(0, 0, 0),
                         List.of(),
                         0),
                 NOW);
@@ -242,10 +242,10 @@
     }
 
     private static LoadReport load(String relay, long sequence, TargetLoad... targets) {
-        return LoadReport.ofTargets(relay, sequence, true, List.of(targets), true, new ReadTo(0, 0, 0));
+        return LoadReport.ofTargets(relay, sequence, true, List.of(targets), true, new ReadOffsets(0, 0, 0));
     }
 
     private static LoadReport sent(String relay, long sequence, TargetLoad... targets) {
-        return LoadReport.ofTargets(relay, sequence, false, List.of(targets), true, new ReadTo(0, 0, 0));
+        return LoadReport.ofTargets(relay, sequence, false, List.of(targets), true, new ReadOffsets(0, 0, 0));
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -19,7 +19,7 @@
 import java.util.stream.Collectors;
 import org.rattanrudder.core.fleet.LoadReport;
 import org.rattanrudder.core.fleet.LoadReport.KnownWeights;
-import org.rattanrudder.core.fleet.LoadReport.ReadTo;
+import org.rattanrudder.core.fleet.LoadReport.ReadOffsets;
 import org.rattanrudder.core.fleet.LoadReport.ServedWeights;
 import org.rattanrudder.core.fleet.LoadReport.TargetLoad;
 import org.rattanrudder.core.fleet.ReportSchedule;
@@ -68,7 +68,7 @@
         boolean ready();
 
         /** Returns how far it has read the platform's records. */
-        ReadTo readTo();
+        ReadOffsets readTo();
     }
 
     /** What others say that concerns other parts of this relay. */
@@ -77,7 +77,7 @@
         void news(SharedNews news);
 
         /** Another relay has read the platform's records so far. */
-        void readTo(ReadTo readTo);
+        void readTo(ReadOffsets readTo);
 
         /** Another relay could open no connection to these targets. */
         void unreachable(List<String> targets);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
@@ -76,7 +76,7 @@
                         true,
                         List.of(new LoadReport.TargetLoad("target", 1, 1, 1)),
                         true,
-                        new LoadReport.ReadTo(1, 1, 1))
+                        new LoadReport.ReadOffsets(1, 1, 1))
                 .withInterval(ReportSchedule.ROUND_MILLIS, List.of(StoreLateness.of(new Address("127.0.0.1", 1), 1)));
         PeerCodec.read(PeerCodec.write(load));
         StoreNews news = new StoreNews(
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -20,7 +20,7 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 import org.jboss.logging.Logger;
-import org.rattanrudder.core.fleet.LoadReport.ReadTo;
+import org.rattanrudder.core.fleet.LoadReport.ReadOffsets;
 import org.rattanrudder.core.fleet.Target;
 import org.rattanrudder.core.fleet.TargetEntry;
 import org.rattanrudder.core.gateway.ContextStore;
@@ -141,8 +141,8 @@
         }
 
         @Override
-        public ReadTo readTo() {
-            return new ReadTo(wishes.readTo(), targetsChangedTo, quarantine.readTo());
+        public ReadOffsets readTo() {
+            return new ReadOffsets(wishes.readTo(), targetsChangedTo, quarantine.readTo());
         }
     }
 
@@ -157,7 +157,7 @@
         }
 
         @Override
-        public void readTo(ReadTo others) {
+        public void readTo(ReadOffsets others) {
             wishes.hint(others.wishes());
             targets.hint(others.targetsChanged());
             quarantine.hint(others.quarantine());
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -138,7 +138,7 @@
     }
 
     private void tell(boolean whole, List<LoadReport.TargetLoad> work, long everyMillis, Predicate<ModelRelay> hears) {
-        LoadReport load = LoadReport.ofTargets(name, sequence++, whole, work, true, new LoadReport.ReadTo(0, 0, 0))
+        LoadReport load = LoadReport.ofTargets(name, sequence++, whole, work, true, new LoadReport.ReadOffsets(0, 0, 0))
                 .withInterval(everyMillis, List.of());
         for (ModelRelay peer : peers) {
             if (hears.test(peer)) {
--- a/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
+++ b/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
@@ -6,7 +6,7 @@
 import java.util.OptionalLong;
 import org.rattanrudder.core.fleet.LoadReport;
 import org.rattanrudder.core.fleet.LoadReport.KnownWeights;
-import org.rattanrudder.core.fleet.LoadReport.ReadTo;
+import org.rattanrudder.core.fleet.LoadReport.ReadOffsets;
 import org.rattanrudder.core.fleet.LoadReport.ServedWeights;
 import org.rattanrudder.core.fleet.LoadReport.TargetLoad;
 import org.rattanrudder.core.model.Address;
@@ -141,8 +141,8 @@
         List<ServedWeights> served = message.getServedList().stream()
                 .map(each -> new ServedWeights(each.getTarget(), each.getModel(), each.getVersion()))
                 .toList();
-        ReadTo readTo =
-                new ReadTo(message.getWishesReadTo(), message.getTargetsChangedTo(), message.getQuarantineReadTo());
+        ReadOffsets readTo = new ReadOffsets(
+                message.getWishesReadTo(), message.getTargetsChangedTo(), message.getQuarantineReadTo());
         return new LoadReport(
                 message.getRelay(),
                 message.getSequence(),
--- a/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
+++ b/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.rattanrudder.core.fleet.LoadReport;
 import org.rattanrudder.core.fleet.LoadReport.KnownWeights;
-import org.rattanrudder.core.fleet.LoadReport.ReadTo;
+import org.rattanrudder.core.fleet.LoadReport.ReadOffsets;
 import org.rattanrudder.core.fleet.LoadReport.ServedWeights;
 import org.rattanrudder.core.fleet.LoadReport.TargetLoad;
 import org.rattanrudder.core.model.Address;
@@ -48,7 +48,7 @@
                 List.of("i-2"),
                 List.of("i-3", "i-4"),
                 sequence % 2 == 0,
-                new ReadTo(sequence / 3, sequence / 2, sequence / 4),
+                new ReadOffsets(sequence / 3, sequence / 2, sequence / 4),
                 List.of(
                         new StoreLateness(new Address("10.0.0.1", 80), requests, requests),
                         new StoreLateness(new Address("10.0.0.2", 80), 1, 0)),
@@ -117,7 +117,7 @@
                 true,
                 List.of(new TargetLoad("i-1", requests, tokens, unread)),
                 true,
-                new ReadTo(0, 0, 0));
+                new ReadOffsets(0, 0, 0));
 
         assertThat(PeerCodec.read(PeerCodec.write(odd))).isEmpty();
     }
