--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
@@ -70,12 +70,12 @@
     /**
      * How far a relay has read the platform's records.
      *
-     * @param wishes the offset up to which it has read what operators want
+     * @param desiredConfiguration the offset up to which it has read what operators want
      * @param targetsChanged the offset after the last change of a target that matters: come, leaving, gone, other
      *     weights
      * @param quarantine the offset up to which it has read, or written, what is held against requests
      */
-    public record ReadOffsets(long wishes, long targetsChanged, long quarantine) {}
+    public record ReadOffsets(long desiredConfiguration, long targetsChanged, long quarantine) {}
 
     /**
      * The weights that a target serves.
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -158,7 +158,7 @@
 
         @Override
         public void readTo(ReadOffsets others) {
-            wishes.hint(others.wishes());
+            wishes.hint(others.desiredConfiguration());
             targets.hint(others.targetsChanged());
             quarantine.hint(others.quarantine());
         }
--- a/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
+++ b/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
@@ -60,7 +60,7 @@
                 .setRelay(load.relay())
                 .setSequence(load.sequence())
                 .setPartial(!load.full())
-                .setWishesReadTo(load.readOffsets().wishes())
+                .setWishesReadTo(load.readOffsets().desiredConfiguration())
                 .setTargetsChangedTo(load.readOffsets().targetsChanged())
                 .setQuarantineReadTo(load.readOffsets().quarantine());
         for (TargetLoad target : load.targets()) {
