--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
@@ -101,9 +101,9 @@
      * @param target the target's incarnation
      * @param requests how many requests
      * @param tokens the memory that they take at most, in tokens
-     * @param unread the tokens of prompts that are yet to be read
+     * @param pendingPrefillTokens the tokens of prompts that are yet to be read
      */
-    public record TargetLoad(String target, int requests, long tokens, long unread) {
+    public record TargetLoad(String target, int requests, long tokens, long pendingPrefillTokens) {
         /** No work. */
         static TargetLoad none(String target) {
             return new TargetLoad(target, 0, 0, 0);
@@ -111,7 +111,11 @@
 
         /** Returns the work of both. */
         TargetLoad plus(TargetLoad other) {
-            return new TargetLoad(target, requests + other.requests, tokens + other.tokens, unread + other.unread);
+            return new TargetLoad(
+                    target,
+                    requests + other.requests,
+                    tokens + other.tokens,
+                    pendingPrefillTokens + other.pendingPrefillTokens);
         }
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Placement.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Placement.java
@@ -120,7 +120,7 @@
 
     private static double engineMillis(Target target, PlacementQuery query, EngineTraits engine, long nowMillis) {
         TargetLoad others = target.othersLoad(nowMillis);
-        double millis = (target.waitingTokens() + others.unread()) / TOKENS_PER_MILLI
+        double millis = (target.waitingTokens() + others.pendingPrefillTokens()) / TOKENS_PER_MILLI
                 + RUNNING_MILLIS * (target.inFlight() + others.requests());
         double memory = engine.capacityTokens() * MEMORY_SHARE;
         long wanted = target.inFlightTokens() + others.tokens() + query.tokens();
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/SendWindow.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/SendWindow.java
@@ -55,7 +55,7 @@
             return true;
         }
         boolean modest = late || !target.isShared();
-        long unread = target.waitingTokens() + others.unread();
+        long unread = target.waitingTokens() + others.pendingPrefillTokens();
         long memory = target.inFlightTokens() + others.tokens() + tokens;
         return unread < (modest ? MODEST_WAITING_TOKENS : WAITING_TOKENS)
                 && memory <= engine.capacityTokens() * (modest ? MODEST_MEMORY_SHARE : MEMORY_SHARE)
--- a/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
+++ b/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
@@ -68,7 +68,7 @@
                     .setTarget(target.target())
                     .setRequests(target.requests())
                     .setTokens(target.tokens())
-                    .setUnreadTokens(target.unread()));
+                    .setUnreadTokens(target.pendingPrefillTokens()));
         }
         for (KnownWeights known : load.weights()) {
             message.addWeights(KnownWeightsMessage.newBuilder()
--- a/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
+++ b/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
@@ -103,7 +103,7 @@
     private static List<Long> figures(PeerCodec.Message.Load message) {
         List<Long> figures = new ArrayList<>(List.of(message.load().intervalMillis()));
         for (TargetLoad target : message.load().targets()) {
-            figures.addAll(List.of((long) target.requests(), target.tokens(), target.unread()));
+            figures.addAll(List.of((long) target.requests(), target.tokens(), target.pendingPrefillTokens()));
         }
         return figures;
     }
