--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
@@ -71,7 +71,7 @@
     public ReportSchedule() {}
 
     /** Takes a relay that is registered, or its new failure domain. */
-    public void registered(String relay, String failureDomain, boolean near) {
+    public void addRelay(String relay, String failureDomain, boolean near) {
         others.put(relay, new Other(failureDomain, near));
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
@@ -22,10 +22,10 @@
 
     private void register(int near, int far) {
         for (int number = 0; number < near; number++) {
-            schedule.registered("near-" + number, "here", true);
+            schedule.addRelay("near-" + number, "here", true);
         }
         for (int number = 0; number < far; number++) {
-            schedule.registered("far-" + number, "there", false);
+            schedule.addRelay("far-" + number, "there", false);
         }
     }
 
@@ -81,8 +81,8 @@
     /** Guards against messages to relays that ended long ago, and against one that is never told after its start. */
     @Test
     void aSilentRelayIsToldNowAndThen() {
-        schedule.registered("silent", "here", true);
-        schedule.registered("heard", "here", true);
+        schedule.addRelay("silent", "here", true);
+        schedule.addRelay("heard", "here", true);
         List<String> told = new ArrayList<>();
         for (int count = 0; count < 100; count++) {
             now += ReportSchedule.ROUND_MILLIS;
@@ -114,7 +114,7 @@
         for (int count = 0; count < rounds; count++) {
             round(7, 26);
         }
-        schedule.registered("later", near ? "here" : "there", near);
+        schedule.addRelay("later", near ? "here" : "there", near);
         List<Long> toldAt = new ArrayList<>(List.of(now));
         for (int count = 0; count < 50; count++) {
             for (ReportSchedule.Due due : round(7, 26)) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -163,7 +163,7 @@
         addresses.put(relay, address);
         names.computeIfAbsent(address, unseen -> new HashSet<>()).add(relay);
         boolean near = registered.failureDomain().equals(state.settings().failureDomain());
-        schedule.registered(relay, registered.failureDomain(), near);
+        schedule.addRelay(relay, registered.failureDomain(), near);
         state.log().info("peer_known", "peer", relay, "address", at.toString());
     }
 
