--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
@@ -76,7 +76,7 @@
     }
 
     /** Drops a relay that isn't registered any more. */
-    public void gone(String relay) {
+    public void removeRelay(String relay) {
         others.remove(relay);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
@@ -98,7 +98,7 @@
     @Test
     void aRelayThatIsGoneIsToldNothing() {
         register(1, 0);
-        schedule.gone("near-0");
+        schedule.removeRelay("near-0");
         schedule.heard("near-0", now);
 
         assertThat(schedule.nextRound(now)).isEmpty();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -172,7 +172,7 @@
         if (address != null) {
             names.get(address).remove(relay);
         }
-        schedule.gone(relay);
+        schedule.removeRelay(relay);
     }
 
     private void tell() {
