--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
@@ -81,7 +81,7 @@
     }
 
     /** Notes a message of a relay. */
-    public void heard(String relay, long nowMillis) {
+    public void onReport(String relay, long nowMillis) {
         Other other = others.get(relay);
         if (other != null) {
             other.heardAt = nowMillis;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
@@ -32,10 +32,10 @@
     private List<ReportSchedule.Due> round(int near, int far) {
         now += ReportSchedule.ROUND_MILLIS;
         for (int number = 0; number < near; number++) {
-            schedule.heard("near-" + number, now);
+            schedule.onReport("near-" + number, now);
         }
         for (int number = 0; number < far; number++) {
-            schedule.heard("far-" + number, now);
+            schedule.onReport("far-" + number, now);
         }
         return schedule.nextRound(now);
     }
@@ -86,7 +86,7 @@
         List<String> told = new ArrayList<>();
         for (int count = 0; count < 100; count++) {
             now += ReportSchedule.ROUND_MILLIS;
-            schedule.heard("heard", now);
+            schedule.onReport("heard", now);
             schedule.nextRound(now).forEach(due -> told.addAll(due.relays()));
         }
 
@@ -99,7 +99,7 @@
     void aRelayThatIsGoneIsToldNothing() {
         register(1, 0);
         schedule.removeRelay("near-0");
-        schedule.heard("near-0", now);
+        schedule.onReport("near-0", now);
 
         assertThat(schedule.nextRound(now)).isEmpty();
         assertThat(schedule.listens("near-0", now)).isFalse();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -296,7 +296,7 @@
 
         private void heard(String relay, LoadReport load) {
             long now = state.now();
-            schedule.heard(relay, now);
+            schedule.onReport(relay, now);
             state.fleet().applyLoadReport(load, now);
             load.storeLateness().forEach(late -> state.directory().fetched(late, now));
             load.weights()
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -149,7 +149,7 @@
     }
 
     private void heard(String relay, LoadReport load) {
-        schedule.heard(relay, time.millis());
+        schedule.onReport(relay, time.millis());
         fleet.applyLoadReport(load, time.millis());
     }
 
