--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
@@ -89,7 +89,7 @@
     }
 
     /** Returns whether a relay was heard of lately: others are told nothing but in their turns. */
-    public boolean listens(String relay, long nowMillis) {
+    public boolean isLive(String relay, long nowMillis) {
         Other other = others.get(relay);
         return other != null && nowMillis - other.heardAt <= SILENT_MILLIS;
     }
@@ -97,7 +97,7 @@
     /** Returns the failure domains of the relays that were heard of lately, by name. */
     public Map<String, String> present(long nowMillis) {
         return others.entrySet().stream()
-                .filter(entry -> listens(entry.getKey(), nowMillis))
+                .filter(entry -> isLive(entry.getKey(), nowMillis))
                 .collect(Collectors.toMap(Map.Entry::getKey, entry -> entry.getValue().failureDomain));
     }
 
@@ -124,7 +124,7 @@
         for (int index = (int) (round % rounds); index < names.size(); index += rounds) {
             String name = names.get(index);
             Other other = others.get(name);
-            if (silentOnesToo || !other.told || listens(name, nowMillis)) {
+            if (silentOnesToo || !other.told || isLive(name, nowMillis)) {
                 other.told = true;
                 relays.add(name);
             }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
@@ -102,7 +102,7 @@
         schedule.onReport("near-0", now);
 
         assertThat(schedule.nextRound(now)).isEmpty();
-        assertThat(schedule.listens("near-0", now)).isFalse();
+        assertThat(schedule.isLive("near-0", now)).isFalse();
     }
 
     /** Guards against relays that don't find each other for seconds after all of them have started again. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -229,7 +229,7 @@
 
     private List<String> listening(Set<String> relays) {
         long now = state.now();
-        return relays.stream().filter(relay -> schedule.listens(relay, now)).toList();
+        return relays.stream().filter(relay -> schedule.isLive(relay, now)).toList();
     }
 
     private void send(byte[] bytes, List<String> relays) {
