--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
@@ -95,7 +95,7 @@
     }
 
     /** Returns the failure domains of the relays that were heard of lately, by name. */
-    public Map<String, String> present(long nowMillis) {
+    public Map<String, String> liveRelayDomains(long nowMillis) {
         return others.entrySet().stream()
                 .filter(entry -> isLive(entry.getKey(), nowMillis))
                 .collect(Collectors.toMap(Map.Entry::getKey, entry -> entry.getValue().failureDomain));
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
@@ -92,7 +92,7 @@
 
         assertThat(told.stream().filter("heard"::equals)).hasSize(100);
         assertThat(told.stream().filter("silent"::equals)).hasSize(10);
-        assertThat(schedule.present(now)).containsOnlyKeys("heard");
+        assertThat(schedule.liveRelayDomains(now)).containsOnlyKeys("heard");
     }
 
     @Test
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -192,7 +192,7 @@
 
     /** Works out anew which relays share which targets. */
     private void shareTargets(long now) {
-        Map<String, String> domains = new HashMap<>(schedule.present(now));
+        Map<String, String> domains = new HashMap<>(schedule.liveRelayDomains(now));
         domains.put(state.settings().instance(), state.settings().failureDomain());
         state.fleet().updateRelays(state.settings().instance(), domains);
     }
