--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
@@ -57,10 +57,10 @@
      * Relays that are due in a round.
      *
      * @param relays their names
-     * @param everyMillis the time until they are due again
+     * @param intervalMillis the time until they are due again
      * @param rounds the same in rounds
      */
-    public record Due(List<String> relays, long everyMillis, int rounds) {
+    public record Due(List<String> relays, long intervalMillis, int rounds) {
         /** Takes a copy of the names. */
         public Due {
             relays = List.copyOf(relays);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
@@ -57,7 +57,7 @@
                     if (before != null) {
                         assertThat(now - before).isEqualTo(promised.get(relay));
                     }
-                    promised.put(relay, due.everyMillis());
+                    promised.put(relay, due.intervalMillis());
                 }
             }
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -184,7 +184,7 @@
             LoadReport load = all(now);
             for (ReportSchedule.Due group : due) {
                 List<StoreLateness> late = state.fetchNews().ofLast(group.rounds());
-                send(PeerCodec.write(load.withInterval(group.everyMillis(), late)), group.relays());
+                send(PeerCodec.write(load.withInterval(group.intervalMillis(), late)), group.relays());
             }
         }
         timer.later(this::tell, ReportSchedule.ROUND_MILLIS);
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -110,7 +110,7 @@
         if (policy.wholeEveryMillis() == 0) {
             for (ReportSchedule.Due due : schedule.nextRound(time.millis())) {
                 Set<String> hearers = Set.copyOf(due.relays());
-                tell(true, work, due.everyMillis(), peer -> hearers.contains(peer.name));
+                tell(true, work, due.intervalMillis(), peer -> hearers.contains(peer.name));
             }
             time.afterMillis(ReportSchedule.ROUND_MILLIS, this::tellAll);
             return;
