--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
@@ -58,9 +58,9 @@
      *
      * @param relays their names
      * @param intervalMillis the time until they are due again
-     * @param rounds the same in rounds
+     * @param intervalRounds the same in rounds
      */
-    public record Due(List<String> relays, long intervalMillis, int rounds) {
+    public record Due(List<String> relays, long intervalMillis, int intervalRounds) {
         /** Takes a copy of the names. */
         public Due {
             relays = List.copyOf(relays);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -183,7 +183,7 @@
         if (!due.isEmpty()) {
             LoadReport load = all(now);
             for (ReportSchedule.Due group : due) {
-                List<StoreLateness> late = state.fetchNews().ofLast(group.rounds());
+                List<StoreLateness> late = state.fetchNews().ofLast(group.intervalRounds());
                 send(PeerCodec.write(load.withInterval(group.intervalMillis(), late)), group.relays());
             }
         }
