--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/SendWindow.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/SendWindow.java
@@ -32,7 +32,7 @@
     private SendWindow() {}
 
     /** Returns the targets that take a request of so many tokens now. */
-    public static List<Target> open(
+    public static List<Target> targetsWithRoom(
             List<Target> targets, EngineTraits engine, int tokens, boolean late, long nowMillis) {
         boolean othersToo = targets.stream().noneMatch(target -> target.isShared() && takesWork(target, nowMillis));
         return targets.stream()
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -102,12 +102,14 @@
         fleet.onLogAvailable(0);
         fleet.apply("i-1", Optional.of(FleetTest.entry("i-1", false)), 1, NOW);
         List<Target> targets = fleet.activeTargets("llm", NOW);
-        assertThat(SendWindow.open(targets, ENGINE, 9_000, false, NOW)).hasSize(1);
+        assertThat(SendWindow.targetsWithRoom(targets, ENGINE, 9_000, false, NOW))
+                .hasSize(1);
 
         fleet.applyLoadReport(load("a", 1, new TargetLoad("i-1", 5, 45_000, 0)), NOW);
         fleet.applyLoadReport(load("b", 1, new TargetLoad("i-1", 3, 27_000, 0)), NOW);
 
-        assertThat(SendWindow.open(targets, ENGINE, 9_000, false, NOW)).isEmpty();
+        assertThat(SendWindow.targetsWithRoom(targets, ENGINE, 9_000, false, NOW))
+                .isEmpty();
     }
 
     /**
@@ -152,9 +154,9 @@
                         0),
                 NOW);
 
-        assertThat(SendWindow.open(fleet.activeTargets("llm", NOW), ENGINE, 9_000, false, NOW))
+        assertThat(SendWindow.targetsWithRoom(fleet.activeTargets("llm", NOW), ENGINE, 9_000, false, NOW))
                 .isEmpty();
-        assertThat(SendWindow.open(
+        assertThat(SendWindow.targetsWithRoom(
                         fleet.activeTargets("llm", NOW), ENGINE, 9_000, false, NOW + Fleet.LOADING_TOLD_MILLIS))
                 .hasSize(1);
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
@@ -32,7 +32,8 @@
             target.sent(new Target.Work(9_000, unread), NOW);
         }
 
-        assertThat(SendWindow.open(List.of(target), ENGINE, 9_000, late, NOW)).hasSize(expected ? 1 : 0);
+        assertThat(SendWindow.targetsWithRoom(List.of(target), ENGINE, 9_000, late, NOW))
+                .hasSize(expected ? 1 : 0);
     }
 
     /** Guards against relays that fill an engine together, since they hear late of what others place there. */
@@ -43,19 +44,23 @@
         List<Target> shared = engines.stream().filter(Target::isShared).toList();
         assertThat(shared).hasSizeBetween(3, 20);
 
-        assertThat(SendWindow.open(engines, ENGINE, 9_000, false, NOW)).isEqualTo(shared);
+        assertThat(SendWindow.targetsWithRoom(engines, ENGINE, 9_000, false, NOW))
+                .isEqualTo(shared);
 
         shared.forEach(target -> target.sent(new Target.Work(65_000, 20_000), NOW));
-        assertThat(SendWindow.open(engines, ENGINE, 9_000, false, NOW)).isEmpty();
+        assertThat(SendWindow.targetsWithRoom(engines, ENGINE, 9_000, false, NOW))
+                .isEmpty();
 
         shared.forEach(target -> target.swapping(NOW + 1_000));
-        assertThat(SendWindow.open(engines, ENGINE, 9_000, false, NOW))
+        assertThat(SendWindow.targetsWithRoom(engines, ENGINE, 9_000, false, NOW))
                 .hasSize(engines.size() - shared.size())
                 .noneMatch(Target::isShared);
 
-        Target other = SendWindow.open(engines, ENGINE, 9_000, false, NOW).get(0);
+        Target other =
+                SendWindow.targetsWithRoom(engines, ENGINE, 9_000, false, NOW).get(0);
         other.sent(new Target.Work(45_000, 0), NOW);
-        assertThat(SendWindow.open(engines, ENGINE, 9_000, false, NOW)).doesNotContain(other);
+        assertThat(SendWindow.targetsWithRoom(engines, ENGINE, 9_000, false, NOW))
+                .doesNotContain(other);
     }
 
     /** Forty relays and forty engines in five failure domains. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -122,7 +122,7 @@
     boolean placeInWindow() {
         long now = state.now();
         boolean late = now > plan.onTimeUntil();
-        List<Target> open = SendWindow.open(
+        List<Target> open = SendWindow.targetsWithRoom(
                         state.fleet().activeTargets(plan.service(), now),
                         plan.engine().orElseThrow(),
                         plan.tokens(),
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -211,7 +211,8 @@
     private boolean sendIfRoom(ModelRequest request) {
         long now = time.millis();
         boolean late = now > request.arrivedAt() + request.kind().objectiveMillis() * policy.heldShare();
-        List<Target> open = SendWindow.open(fleet.activeTargets(SERVICE, now), traits, request.tokens(), late, now);
+        List<Target> open =
+                SendWindow.targetsWithRoom(fleet.activeTargets(SERVICE, now), traits, request.tokens(), late, now);
         Optional<Placement.Choice> choice = Placement.choose(open, query(request), now);
         choice.ifPresent(found -> send(request, found.target()));
         return choice.isPresent();
