--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -181,7 +181,8 @@
         dropLapsed(nowMillis);
         List<Target> found = new ArrayList<>();
         for (Target target : targets.values()) {
-            if (target.entry().service().equals(service) && !target.entry().draining()) {
+            if (target.registration().service().equals(service)
+                    && !target.registration().draining()) {
                 found.add(target);
             }
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Placement.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Placement.java
@@ -99,7 +99,7 @@
                 ? engineMillis(target, query, query.engine().get(), nowMillis)
                 : plainMillis(target, nowMillis);
         millis += target.firstByteExcess(nowMillis) + FAILURE_MILLIS * target.failures(nowMillis);
-        if (!target.entry().failureDomain().equals(query.failureDomain())) {
+        if (!target.registration().failureDomain().equals(query.failureDomain())) {
             millis += DOMAIN_MILLIS + DOMAIN_MILLIS_PER_KILOTOKEN * query.tokens() / 1_000;
         }
         if (target.isPaused(nowMillis)) {
@@ -112,7 +112,7 @@
     }
 
     private static double plainMillis(Target target, long nowMillis) {
-        int slots = Math.max(1, target.entry().slots());
+        int slots = Math.max(1, target.registration().slots());
         double share =
                 (double) (target.inFlight() + target.othersLoad(nowMillis).requests()) / slots;
         return PLAIN_ROUND_MILLIS * share * (share < 1 ? share : 2 * share);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -43,7 +43,7 @@
     private final TargetSharing sharing;
     private final Reach reach = new Reach();
     private final long idHash;
-    private TargetEntry entry;
+    private TargetEntry registration;
     private int inFlight;
     private long inFlightTokens;
     private long waitingTokens;
@@ -65,20 +65,20 @@
 
     /** Makes a target that other relays may have work at. */
     Target(TargetEntry entry, PeerLoads peers, TargetSharing sharing) {
-        this.entry = entry;
+        this.registration = entry;
         this.peers = peers;
         this.sharing = sharing;
         idHash = Hashing.of(entry.id());
     }
 
     /** Returns what it last said of itself. */
-    public TargetEntry entry() {
-        return entry;
+    public TargetEntry registration() {
+        return registration;
     }
 
     /** Returns its incarnation. */
     public String id() {
-        return entry.id();
+        return registration.id();
     }
 
     /** Returns a hash of its incarnation. */
@@ -101,8 +101,8 @@
     private void share() {
         if (sharingVersion != sharing.version()) {
             sharingVersion = sharing.version();
-            shared = sharing.isOwn(idHash, entry.failureDomain());
-            sharers = sharing.others(idHash, entry.failureDomain());
+            shared = sharing.isOwn(idHash, registration.failureDomain());
+            sharers = sharing.others(idHash, registration.failureDomain());
         }
     }
 
@@ -113,12 +113,12 @@
         if (loaded) {
             swappingUntil = Long.MIN_VALUE / 2;
         }
-        entry = newest;
+        registration = newest;
     }
 
     /** Returns the version of a model's weights that it serves as far as known; 0 if unknown. */
     public long weights(String model) {
-        return Math.max(entry.weights().getOrDefault(model, 0L), confirmedWeights.getOrDefault(model, 0L));
+        return Math.max(registration.weights().getOrDefault(model, 0L), confirmedWeights.getOrDefault(model, 0L));
     }
 
     /**
@@ -299,7 +299,7 @@
      * the target's last report leaves over.
      */
     TargetLoad othersLoad(long nowMillis) {
-        if (!entry.weights().isEmpty() && peers.alive(nowMillis) > 0) {
+        if (!registration.weights().isEmpty() && peers.alive(nowMillis) > 0) {
             return peers.at(id(), nowMillis);
         }
         if (nowMillis - loadAt > LOAD_VALID_MILLIS) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PlacementTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PlacementTest.java
@@ -53,7 +53,7 @@
         assertThat(chosen(0, 0)).isEqualTo("i-far");
         assertThat(Placement.choose(targets, onWeights(0, 0), NOW + 30_000))
                 .get()
-                .extracting(choice -> choice.target().entry().failureDomain())
+                .extracting(choice -> choice.target().registration().failureDomain())
                 .isEqualTo("north");
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
@@ -102,7 +102,7 @@
                 .max(Comparator.comparingLong(Written::startedAt).thenComparingLong(Written::offset))
                 .orElseThrow();
 
-        assertThat(relay.find(ID).orElseThrow().entry()).isEqualTo(last.entry());
+        assertThat(relay.find(ID).orElseThrow().registration()).isEqualTo(last.entry());
     }
 
     @Provide
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
@@ -72,7 +72,7 @@
             String domain = "domain-" + number % 5;
             relays.put("relay-" + number, domain);
             Target target = PlacementTest.target("i-" + number, domain, 1);
-            fleet.apply(target.id(), Optional.of(target.entry()), number, NOW);
+            fleet.apply(target.id(), Optional.of(target.registration()), number, NOW);
         }
         fleet.updateRelays("relay-7", relays);
         return fleet;
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CrashWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CrashWatch.java
@@ -47,7 +47,7 @@
         Set<RequestFingerprint> gathered = broken.get(target);
         if (gathered != null) {
             gathered.add(request);
-        } else if (!target.entry().draining()) {
+        } else if (!target.registration().draining()) {
             broken.put(target, new LinkedHashSet<>(Set.of(request)));
             dial(target, 1);
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -224,7 +224,7 @@
 
     private void order(Target target, NamedWeights weights) {
         ordering.add(target.id());
-        CallLine line = new CallLine(state.connector(), target.entry()::address);
+        CallLine line = new CallLine(state.connector(), target.registration()::address);
         line.call(state.platform().engines().report(Optional.of(target.id())), CALL_MILLIS, answer -> {
             Optional<EngineReport> report = report(answer);
             report.ifPresent(read -> note(target, read));
@@ -242,7 +242,7 @@
     private void give(Target target, NamedWeights weights, EngineReport report, CallLine line) {
         LoadOrder order =
                 new LoadOrder(weights, state.settings().instance(), lease.token(), report.orders(), target.id());
-        RolloutPlan plan = plans.get(target.entry().service() + "/" + weights.model());
+        RolloutPlan plan = plans.get(target.registration().service() + "/" + weights.model());
         long now = state.now();
         plan.ordered(target.id(), weights.version(), now);
         target.swapping(now + SWAP_MILLIS);
@@ -299,7 +299,7 @@
             }
             looks.put(target.id(), now + LOOK_EVERY_MILLIS);
             ordering.add(target.id());
-            CallLine line = new CallLine(state.connector(), target.entry()::address);
+            CallLine line = new CallLine(state.connector(), target.registration()::address);
             line.call(state.platform().engines().report(Optional.of(target.id())), CALL_MILLIS, answer -> {
                 Optional<EngineReport> report = report(answer);
                 report.ifPresent(read -> note(target, read));
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -246,7 +246,7 @@
     private List<TargetLoad> work() {
         return state.fleet().all(state.now()).stream()
                 .filter(target ->
-                        target.inFlight() > 0 && target.entry().weights().size() > 0)
+                        target.inFlight() > 0 && target.registration().weights().size() > 0)
                 .map(Target::ownLoad)
                 .toList();
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
@@ -119,14 +119,14 @@
 
     /** Notes the end of a target that was seen here, and tells the others. */
     void crashed(Target target, Set<RequestFingerprint> requests) {
-        state.metrics().targetCrashed(target.entry().service());
+        state.metrics().targetCrashed(target.registration().service());
         state.log()
                 .warn(
                         "target_crashed",
                         "target",
                         target.id(),
                         "service",
-                        target.entry().service(),
+                        target.registration().service(),
                         "requests",
                         Integer.toString(requests.size()),
                         "fingerprints",
@@ -138,7 +138,7 @@
         if (suspects.isEmpty()) {
             return;
         }
-        TargetCrash crash = new TargetCrash(target.id(), target.entry().startedAt(), suspects);
+        TargetCrash crash = new TargetCrash(target.id(), target.registration().startedAt(), suspects);
         note(crash, true, "self");
         unwritten.add(crash);
         if (unwritten.size() > MOST_UNWRITTEN) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -179,7 +179,7 @@
         @Override
         public void again(Target target) {
             state.log().info("target_reached_again", "target", target.id());
-            state.drainLine(target.entry().service());
+            state.drainLine(target.registration().service());
         }
     }
 
@@ -273,7 +273,7 @@
         public void record(KeyedRecord record) {
             long now = state.now();
             StoreDialect store = state.platform().store();
-            Optional<TargetEntry> before = state.fleet().find(record.key()).map(Target::entry);
+            Optional<TargetEntry> before = state.fleet().find(record.key()).map(Target::registration);
             Optional<TargetEntry> read;
             try {
                 read = record.value().map(value -> store.readTarget(record.key(), value));
@@ -282,7 +282,7 @@
                 throw unreadable;
             }
             boolean news = state.fleet().apply(record.key(), read, record.offset(), now);
-            Optional<TargetEntry> after = state.fleet().find(record.key()).map(Target::entry);
+            Optional<TargetEntry> after = state.fleet().find(record.key()).map(Target::registration);
             if (!news || (before.equals(after) && record.value().isPresent())) {
                 return;
             }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -186,7 +186,7 @@
                         .plan(
                                 salt.get(),
                                 facts.parts(),
-                                target.entry().failureDomain(),
+                                target.registration().failureDomain(),
                                 weights.get()
                                         >= state.weights().newest(facts.model().get()),
                                 route.objectiveMillis(),
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -154,7 +154,7 @@
     }
 
     private void dial(Target target, Pool pool, Claim claim, Consumer<Dial> then) {
-        Address address = target.entry().address();
+        Address address = target.registration().address();
         long began = clock.getAsLong();
         target.dialling(began);
         TargetConnection[] made = new TargetConnection[1];
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/WorkNews.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/WorkNews.java
@@ -36,7 +36,7 @@
 
     /** Notes that work was placed at a target. */
     void placed(Target target) {
-        if (target.entry().weights().isEmpty()) {
+        if (target.registration().weights().isEmpty()) {
             return;
         }
         if (changed.isEmpty()) {
