--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -51,7 +51,7 @@
      * @param offset of its record
      */
     private record Seen(long startedAt, long offset) {
-        private static final Seen NOTHING = new Seen(TargetEntry.START_UNKNOWN, -1);
+        private static final Seen NOTHING = new Seen(TargetRegistration.START_UNKNOWN, -1);
     }
 
     /** Notes that the log doesn't answer. */
@@ -68,7 +68,7 @@
     }
 
     /** Takes a record of one target: its entry, or none if it was removed. Returns whether it was news. */
-    public boolean apply(String id, Optional<TargetEntry> entry, long offset, long nowMillis) {
+    public boolean apply(String id, Optional<TargetRegistration> entry, long offset, long nowMillis) {
         if (entry.isPresent()) {
             return take(entry.get(), offset);
         }
@@ -98,7 +98,7 @@
      * connections and weights that were seen at the start before say nothing of it, so it is another target here. What
      * an earlier start said may be written, or read, later than what the newer one says, and changes nothing.
      */
-    private boolean take(TargetEntry entry, long offset) {
+    private boolean take(TargetRegistration entry, long offset) {
         Seen seen = newest.getOrDefault(entry.id(), Seen.NOTHING);
         boolean startedAgain = entry.startedAt() > seen.startedAt();
         if (entry.startedAt() < seen.startedAt() || (!startedAgain && offset <= seen.offset())) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -43,7 +43,7 @@
     private final TargetSharing sharing;
     private final Reach reach = new Reach();
     private final long idHash;
-    private TargetEntry registration;
+    private TargetRegistration registration;
     private int inFlight;
     private long inFlightTokens;
     private long waitingTokens;
@@ -64,7 +64,7 @@
     private Set<String> sharers = Set.of();
 
     /** Makes a target that other relays may have work at. */
-    Target(TargetEntry entry, PeerLoads peers, TargetSharing sharing) {
+    Target(TargetRegistration entry, PeerLoads peers, TargetSharing sharing) {
         this.registration = entry;
         this.peers = peers;
         this.sharing = sharing;
@@ -72,7 +72,7 @@
     }
 
     /** Returns what it last said of itself. */
-    public TargetEntry registration() {
+    public TargetRegistration registration() {
         return registration;
     }
 
@@ -107,7 +107,7 @@
     }
 
     /** Takes its newest entry; weights that are new there end the time in which it takes no work. */
-    void update(TargetEntry newest) {
+    void update(TargetRegistration newest) {
         boolean loaded =
                 newest.weights().entrySet().stream().anyMatch(served -> served.getValue() > weights(served.getKey()));
         if (loaded) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/TargetEntry.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/TargetRegistration.java
@@ -15,7 +15,7 @@
  * @param draining whether it is leaving and takes no new work
  * @param weights the version of each model that it serves
  */
-public record TargetEntry(
+public record TargetRegistration(
         String id,
         long startedAt,
         String service,
@@ -28,7 +28,7 @@
     public static final long START_UNKNOWN = 0;
 
     /** Takes a copy of the versions. */
-    public TargetEntry {
+    public TargetRegistration {
         weights = Map.copyOf(weights);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/TargetCrash.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/TargetCrash.java
@@ -6,7 +6,7 @@
  * The unplanned end of a target, as one relay saw it.
  *
  * @param target the target's id
- * @param startedAt the start of it that ended, see {@link org.rattanrudder.core.fleet.TargetEntry#startedAt()}
+ * @param startedAt the start of it that ended, see {@link org.rattanrudder.core.fleet.TargetRegistration#startedAt()}
  * @param requests the requests of the relay that were there
  */
 public record TargetCrash(String target, long startedAt, Set<RequestFingerprint> requests) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
@@ -120,10 +120,10 @@
         assertThat(fleet.unreachableTargets(1_400)).hasSize(told);
     }
 
-    static TargetEntry entry(String id, boolean draining) {
-        return new TargetEntry(
+    static TargetRegistration entry(String id, boolean draining) {
+        return new TargetRegistration(
                 id,
-                TargetEntry.START_UNKNOWN,
+                TargetRegistration.START_UNKNOWN,
                 "llm",
                 new Address("10.0.0.1", 80),
                 "north",
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PlacementTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PlacementTest.java
@@ -164,9 +164,9 @@
 
     static Target target(String id, String domain, long weights) {
         return new Target(
-                new TargetEntry(
+                new TargetRegistration(
                         id,
-                        TargetEntry.START_UNKNOWN,
+                        TargetRegistration.START_UNKNOWN,
                         "llm",
                         new Address("10.0.0.1", 80),
                         domain,
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
@@ -24,13 +24,13 @@
 
     /** An entry as it stands in the log. */
     private record Written(long startedAt, long offset, boolean draining) {
-        TargetEntry entry() {
+        TargetRegistration entry() {
             return RestartedTargetTest.entry(startedAt, draining);
         }
     }
 
-    private static TargetEntry entry(long startedAt, boolean draining) {
-        return new TargetEntry(
+    private static TargetRegistration entry(long startedAt, boolean draining) {
+        return new TargetRegistration(
                 ID, startedAt, "llm", new Address("10.0.0.1", 80), "north", 8, draining, Map.of("m", 1L));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -22,7 +22,7 @@
 import org.jboss.logging.Logger;
 import org.rattanrudder.core.fleet.LoadReport.ReadOffsets;
 import org.rattanrudder.core.fleet.Target;
-import org.rattanrudder.core.fleet.TargetEntry;
+import org.rattanrudder.core.fleet.TargetRegistration;
 import org.rattanrudder.core.gateway.ContextStore;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.SharedNews;
@@ -273,8 +273,9 @@
         public void record(KeyedRecord record) {
             long now = state.now();
             StoreDialect store = state.platform().store();
-            Optional<TargetEntry> before = state.fleet().find(record.key()).map(Target::registration);
-            Optional<TargetEntry> read;
+            Optional<TargetRegistration> before =
+                    state.fleet().find(record.key()).map(Target::registration);
+            Optional<TargetRegistration> read;
             try {
                 read = record.value().map(value -> store.readTarget(record.key(), value));
             } catch (IllegalArgumentException unreadable) {
@@ -282,7 +283,8 @@
                 throw unreadable;
             }
             boolean news = state.fleet().apply(record.key(), read, record.offset(), now);
-            Optional<TargetEntry> after = state.fleet().find(record.key()).map(Target::registration);
+            Optional<TargetRegistration> after =
+                    state.fleet().find(record.key()).map(Target::registration);
             if (!news || (before.equals(after) && record.value().isPresent())) {
                 return;
             }
@@ -295,7 +297,8 @@
                             "known",
                             Boolean.toString(after.isPresent()),
                             "draining",
-                            Boolean.toString(after.map(TargetEntry::draining).orElse(false)),
+                            Boolean.toString(
+                                    after.map(TargetRegistration::draining).orElse(false)),
                             "offset",
                             Long.toString(record.offset()));
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.rattanrudder.core.fleet.TargetEntry;
+import org.rattanrudder.core.fleet.TargetRegistration;
 import org.rattanrudder.core.gateway.ServingConfiguration;
 import org.rattanrudder.core.rollout.LeaseRecord;
 
@@ -74,7 +74,7 @@
     Optional<Wish> readWish(KeyedRecord record);
 
     /** Reads a target's entry. Throws IllegalArgumentException if unreadable. */
-    TargetEntry readTarget(String id, byte[] value);
+    TargetRegistration readTarget(String id, byte[] value);
 
     /** Reads a record of the lease. Throws IllegalArgumentException if unreadable. */
     LeaseRecord readLease(byte[] value);
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/KnownTargets.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/KnownTargets.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.rattanrudder.core.fleet.Fleet;
 import org.rattanrudder.core.fleet.Target;
-import org.rattanrudder.core.fleet.TargetEntry;
+import org.rattanrudder.core.fleet.TargetRegistration;
 import org.rattanrudder.core.model.Address;
 
 /** Targets as a relay knows them. */
@@ -16,9 +16,9 @@
         Fleet fleet = new Fleet();
         fleet.apply(
                 id,
-                Optional.of(new TargetEntry(
+                Optional.of(new TargetRegistration(
                         id,
-                        TargetEntry.START_UNKNOWN,
+                        TargetRegistration.START_UNKNOWN,
                         "llm",
                         new Address("10.0.0.1", 80),
                         "north",
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -18,7 +18,7 @@
 import org.rattanrudder.core.fleet.ReportSchedule;
 import org.rattanrudder.core.fleet.SendWindow;
 import org.rattanrudder.core.fleet.Target;
-import org.rattanrudder.core.fleet.TargetEntry;
+import org.rattanrudder.core.fleet.TargetRegistration;
 import org.rattanrudder.core.gateway.EngineTraits;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.routing.Hashing;
@@ -76,9 +76,9 @@
 
     /** Makes an engine known. */
     void knows(String engine, String engineDomain, long offset) {
-        TargetEntry entry = new TargetEntry(
+        TargetRegistration entry = new TargetRegistration(
                 engine,
-                TargetEntry.START_UNKNOWN,
+                TargetRegistration.START_UNKNOWN,
                 SERVICE,
                 new Address("engine", 80),
                 engineDomain,
