--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -61,7 +61,7 @@
 
     private long sharingVersion = -1;
     private boolean shared;
-    private Set<String> sharers = Set.of();
+    private Set<String> sharingRelays = Set.of();
 
     /** Makes a target that other relays may have work at. */
     Target(TargetRegistration entry, PeerLoads peers, TargetSharing sharing) {
@@ -87,9 +87,9 @@
     }
 
     /** Returns the other relays that share it: they are told at once of what is placed there. */
-    public Set<String> sharers() {
+    public Set<String> sharingRelays() {
         share();
-        return sharers;
+        return sharingRelays;
     }
 
     /** Returns whether this relay shares it, and so hears at once of what others place there. */
@@ -102,7 +102,7 @@
         if (sharingVersion != sharing.version()) {
             sharingVersion = sharing.version();
             shared = sharing.isOwn(idHash, registration.failureDomain());
-            sharers = sharing.others(idHash, registration.failureDomain());
+            sharingRelays = sharing.others(idHash, registration.failureDomain());
         }
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -216,8 +216,9 @@
     /** Tells the relays that share engines at once of work that was just sent there: they would send theirs, too. */
     private void tellAtOnce(List<Target> sentTo) {
         List<TargetLoad> changed = sentTo.stream().map(Target::ownLoad).toList();
-        Set<String> sharers =
-                sentTo.stream().flatMap(target -> target.sharers().stream()).collect(Collectors.toSet());
+        Set<String> sharers = sentTo.stream()
+                .flatMap(target -> target.sharingRelays().stream())
+                .collect(Collectors.toSet());
         LoadReport load = LoadReport.ofTargets(self, sequence++, false, changed, own.ready(), own.readTo());
         send(PeerCodec.write(load), listening(sharers));
     }
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -125,8 +125,9 @@
             return;
         }
         List<LoadReport.TargetLoad> work = unsaid.stream().map(Target::ownLoad).toList();
-        Set<String> sharers =
-                unsaid.stream().flatMap(target -> target.sharers().stream()).collect(Collectors.toSet());
+        Set<String> sharers = unsaid.stream()
+                .flatMap(target -> target.sharingRelays().stream())
+                .collect(Collectors.toSet());
         unsaid.clear();
         tell(
                 false,
