--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -135,7 +135,7 @@
     }
 
     /** Returns the weights that it was seen to serve since a time, beyond those of its entry at that time. */
-    public List<ServedWeights> confirmedSince(long sinceMillis) {
+    public List<ServedWeights> weightsConfirmedSince(long sinceMillis) {
         if (confirmedAt < sinceMillis) {
             return List.of();
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -191,7 +191,7 @@
                         true,
                         List.of(),
                         List.of(),
-                        seen.confirmedSince(NOW - 1),
+                        seen.weightsConfirmedSince(NOW - 1),
                         List.of(),
                         List.of(),
                         true,
@@ -201,7 +201,7 @@
                 NOW);
 
         assertThat(fleet.find("i-1").orElseThrow().weights("m")).isEqualTo(2);
-        assertThat(seen.confirmedSince(NOW + 1)).isEmpty();
+        assertThat(seen.weightsConfirmedSince(NOW + 1)).isEmpty();
     }
 
     /** Sums are kept between messages: whatever comes when, they must be those of the newest word of each relay. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -260,7 +260,7 @@
 
     private List<ServedWeights> served(long now) {
         return state.fleet().all(now).stream()
-                .flatMap(target -> target.confirmedSince(now - TOLD_MILLIS).stream())
+                .flatMap(target -> target.weightsConfirmedSince(now - TOLD_MILLIS).stream())
                 .toList();
     }
 
