--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -149,7 +149,9 @@
     /** Takes what another relay says of its work. */
     public void applyLoadReport(LoadReport load, long nowMillis) {
         livePeerCount.heard(load, nowMillis);
-        load.loading().forEach(id -> find(id).ifPresent(target -> target.swapping(nowMillis + LOADING_TOLD_MILLIS)));
+        load.loading()
+                .forEach(
+                        id -> find(id).ifPresent(target -> target.markLoadingWeights(nowMillis + LOADING_TOLD_MILLIS)));
         for (ServedWeights served : load.served()) {
             find(served.target())
                     .ifPresent(target -> target.confirmWeights(served.model(), served.version(), nowMillis));
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -145,7 +145,7 @@
     }
 
     /** Notes that the target takes no new work before a time, since it loads weights. */
-    public void swapping(long untilMillis) {
+    public void markLoadingWeights(long untilMillis) {
         swappingUntil = untilMillis;
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -119,7 +119,7 @@
     @Test
     void answersOnOldWeightsDoNotEndASwap() {
         Target target = PlacementTest.target("i-1", "north", 1);
-        target.swapping(NOW + 5_000);
+        target.markLoadingWeights(NOW + 5_000);
 
         target.confirmWeights("m", 1, NOW + 100);
         assertThat(target.isSwapping(NOW + 200)).isTrue();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
@@ -55,7 +55,7 @@
         Target before = fleet.find(ID).orElseThrow();
         before.sent(new Target.Work(5_000, 5_000), NOW);
         before.failed(3_000, NOW);
-        before.swapping(NOW + 60_000);
+        before.markLoadingWeights(NOW + 60_000);
 
         fleet.apply(ID, Optional.of(entry(7_000, false)), 5, NOW);
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
@@ -51,7 +51,7 @@
         assertThat(SendWindow.targetsWithRoom(engines, ENGINE, 9_000, false, NOW))
                 .isEmpty();
 
-        shared.forEach(target -> target.swapping(NOW + 1_000));
+        shared.forEach(target -> target.markLoadingWeights(NOW + 1_000));
         assertThat(SendWindow.targetsWithRoom(engines, ENGINE, 9_000, false, NOW))
                 .hasSize(engines.size() - shared.size())
                 .noneMatch(Target::isShared);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -92,8 +92,9 @@
             // Records from before the start say nothing of now: after a restart all engines would seem to load.
             if (caughtUp && !read.holder().equals(self)) {
                 read.loading()
-                        .forEach(id ->
-                                state.fleet().find(id).ifPresent(target -> target.swapping(now + OTHERS_SWAP_MILLIS)));
+                        .forEach(id -> state.fleet()
+                                .find(id)
+                                .ifPresent(target -> target.markLoadingWeights(now + OTHERS_SWAP_MILLIS)));
             }
         }
 
@@ -245,7 +246,7 @@
         RolloutPlan plan = plans.get(target.registration().service() + "/" + weights.model());
         long now = state.now();
         plan.ordered(target.id(), weights.version(), now);
-        target.swapping(now + SWAP_MILLIS);
+        target.markLoadingWeights(now + SWAP_MILLIS);
         looks.put(target.id(), now + FIRST_LOOK_MILLIS);
         line.call(state.platform().engines().order(order), CALL_MILLIS, answer -> {
             int status = answer instanceof CallAnswer.Answered answered ? answered.status() : 0;
@@ -265,10 +266,10 @@
             if (status == 0) {
                 // It may load at any time or never; until then it serves.
                 plan.unanswered(target.id());
-                target.swapping(state.now());
+                target.markLoadingWeights(state.now());
             } else if (!state.platform().engines().orderTaken(status)) {
                 plan.refused(target.id());
-                target.swapping(state.now());
+                target.markLoadingWeights(state.now());
             }
             line.close();
             ordering.remove(target.id());
@@ -306,7 +307,7 @@
                 if (report.isPresent() && !report.get().busy()) {
                     // Done, or never begun: the engine is free for the next order in either case.
                     plan(work).refused(target.id());
-                    target.swapping(state.now());
+                    target.markLoadingWeights(state.now());
                 }
                 state.log()
                         .info(
