--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Placement.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Placement.java
@@ -127,7 +127,7 @@
         if (wanted > memory) {
             millis += MEMORY_SHORT_MILLIS * wanted / memory;
         }
-        if (target.isSwapping(nowMillis)) {
+        if (target.isLoadingWeights(nowMillis)) {
             millis += SWAPPING_MILLIS;
         }
         if (query.model().isPresent() && target.weights(query.model().get()) < query.newestWeights()) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/SendWindow.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/SendWindow.java
@@ -42,7 +42,7 @@
     }
 
     private static boolean takesWork(Target target, long nowMillis) {
-        return !target.isPaused(nowMillis) && !target.isSwapping(nowMillis);
+        return !target.isPaused(nowMillis) && !target.isLoadingWeights(nowMillis);
     }
 
     private static boolean isOpen(Target target, EngineTraits engine, int tokens, boolean late, long nowMillis) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -150,7 +150,7 @@
     }
 
     /** Returns whether it loads weights, as far as known. */
-    public boolean isSwapping(long nowMillis) {
+    public boolean isLoadingWeights(long nowMillis) {
         return nowMillis < swappingUntil;
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -122,10 +122,10 @@
         target.markLoadingWeights(NOW + 5_000);
 
         target.confirmWeights("m", 1, NOW + 100);
-        assertThat(target.isSwapping(NOW + 200)).isTrue();
+        assertThat(target.isLoadingWeights(NOW + 200)).isTrue();
 
         target.confirmWeights("m", 2, NOW + 3_000);
-        assertThat(target.isSwapping(NOW + 3_100)).isFalse();
+        assertThat(target.isLoadingWeights(NOW + 3_100)).isFalse();
     }
 
     /**
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
@@ -62,7 +62,7 @@
         Target after = fleet.find(ID).orElseThrow();
         assertThat(after).isNotSameAs(before);
         assertThat(after.inFlight()).isZero();
-        assertThat(after.isSwapping(NOW)).isFalse();
+        assertThat(after.isLoadingWeights(NOW)).isFalse();
         before.ended(new Target.Work(5_000, 5_000), false);
         assertThat(after.inFlight()).isZero();
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
@@ -65,7 +65,7 @@
                                 .count()),
                         "swapping",
                         Long.toString(targets.stream()
-                                .filter(target -> target.isSwapping(now))
+                                .filter(target -> target.isLoadingWeights(now))
                                 .count()),
                         "peers",
                         Integer.toString(state.fleet().livePeerCount(now)));
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -282,7 +282,7 @@
         return looks.keySet().stream()
                 .filter(id -> state.fleet()
                         .find(id)
-                        .filter(target -> target.isSwapping(now))
+                        .filter(target -> target.isLoadingWeights(now))
                         .isPresent())
                 .toList();
     }
