--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -160,10 +160,10 @@
      * @param tokens the memory that it takes, in tokens
      * @param unread the part of its prompt that must be read, in tokens
      */
-    public record Work(int tokens, int unread) {}
+    public record RequestCost(int tokens, int unread) {}
 
     /** Notes that a request was sent, or that it will be once its connection is open. */
-    public void sent(Work work, long nowMillis) {
+    public void sent(RequestCost work, long nowMillis) {
         inFlight++;
         inFlightTokens += work.tokens();
         waitingTokens += work.unread();
@@ -173,12 +173,12 @@
     }
 
     /** Notes the first byte of an answer to a request. */
-    public void began(Work work) {
+    public void began(RequestCost work) {
         waitingTokens -= work.unread();
     }
 
     /** Notes that a request has ended, in whatever way. */
-    public void ended(Work work, boolean hadBegun) {
+    public void ended(RequestCost work, boolean hadBegun) {
         inFlight--;
         inFlightTokens -= work.tokens();
         if (!hadBegun) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -172,7 +172,7 @@
         log.placed(choice, tried.size());
         boolean repeatable = plan.route().repeat().repeatable();
         // It counts from now on: what is placed while its connection opens would all go to the same target.
-        Target.Work expected = plan.expectedWork();
+        Target.RequestCost expected = plan.expectedWork();
         target.sent(expected, state.now());
         state.workNews().placed(target);
         pools.acquire(target, repeatable, opened -> {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -78,7 +78,7 @@
      * @param forwarding what the target is told beside it
      * @param work the work that it is there
      */
-    record Outgoing(Forwarding forwarding, Target.Work work) {
+    record Outgoing(Forwarding forwarding, Target.RequestCost work) {
         /** Returns how long a healthy engine needs to the first byte if its fetches take no time, in ms. */
         double millisWithoutFetch() {
             return ENGINE_BASE_MILLIS + work.unread() / TOKENS_PER_MILLI;
@@ -129,8 +129,8 @@
     }
 
     /** Returns the work that it is for a target as far as is known before it is sent. */
-    Target.Work expectedWork() {
-        return new Target.Work(tokens(), facts.promptTokens());
+    Target.RequestCost expectedWork() {
+        return new Target.RequestCost(tokens(), facts.promptTokens());
     }
 
     /** Returns its rank: the customer's priority goes before the route's. */
@@ -205,7 +205,7 @@
                 lastEventId.or(facts::lastEventId),
                 engineRank());
         return new Outgoing(
-                forwarding, new Target.Work(tokens(), Math.max(0, facts.promptTokens() - readTokens(parts))));
+                forwarding, new Target.RequestCost(tokens(), Math.max(0, facts.promptTokens() - readTokens(parts))));
     }
 
     /** Weights that aren't known can't be told apart: nothing of this request may be found by another one. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
@@ -29,7 +29,7 @@
         return connection;
     }
 
-    Target.Work work() {
+    Target.RequestCost work() {
         return outgoing.work();
     }
 
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -240,7 +240,7 @@
         if (place != null) {
             line.remove(place);
         }
-        Target.Work expected = new Target.Work(request.tokens(), request.promptTokens());
+        Target.RequestCost expected = new Target.RequestCost(request.tokens(), request.promptTokens());
         if (policy.countPlaced()) {
             target.sent(expected, time.millis());
             changed(target);
@@ -284,7 +284,7 @@
         private final ModelRequest request;
         private final Target target;
         private final ModelEngine engine;
-        private final Target.Work work;
+        private final Target.RequestCost work;
         private final ModelJob job;
         private boolean begun;
         private boolean over;
@@ -293,7 +293,7 @@
             this.request = request;
             this.target = target;
             engine = engines.get(target.id());
-            work = new Target.Work(request.tokens(), request.unread(store, time.millis()));
+            work = new Target.RequestCost(request.tokens(), request.unread(store, time.millis()));
             job = new ModelJob(
                     request.shared(),
                     request.ownTokens(),
