--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -158,15 +158,15 @@
      * The work that a request is for its target.
      *
      * @param tokens the memory that it takes, in tokens
-     * @param unread the part of its prompt that must be read, in tokens
+     * @param prefillTokens the part of its prompt that must be read, in tokens
      */
-    public record RequestCost(int tokens, int unread) {}
+    public record RequestCost(int tokens, int prefillTokens) {}
 
     /** Notes that a request was sent, or that it will be once its connection is open. */
     public void sent(RequestCost work, long nowMillis) {
         inFlight++;
         inFlightTokens += work.tokens();
-        waitingTokens += work.unread();
+        waitingTokens += work.prefillTokens();
         if (inFlight == 1) {
             lastSignAt = nowMillis;
         }
@@ -174,7 +174,7 @@
 
     /** Notes the first byte of an answer to a request. */
     public void began(RequestCost work) {
-        waitingTokens -= work.unread();
+        waitingTokens -= work.prefillTokens();
     }
 
     /** Notes that a request has ended, in whatever way. */
@@ -182,7 +182,7 @@
         inFlight--;
         inFlightTokens -= work.tokens();
         if (!hadBegun) {
-            waitingTokens -= work.unread();
+            waitingTokens -= work.prefillTokens();
         }
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
@@ -143,7 +143,7 @@
                         "tokens",
                         Integer.toString(plan.tokens()),
                         "unread",
-                        attempt.map(sent -> Integer.toString(sent.work().unread()))
+                        attempt.map(sent -> Integer.toString(sent.work().prefillTokens()))
                                 .orElse("none"),
                         "load",
                         load,
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -81,7 +81,7 @@
     record Outgoing(Forwarding forwarding, Target.RequestCost work) {
         /** Returns how long a healthy engine needs to the first byte if its fetches take no time, in ms. */
         double millisWithoutFetch() {
-            return ENGINE_BASE_MILLIS + work.unread() / TOKENS_PER_MILLI;
+            return ENGINE_BASE_MILLIS + work.prefillTokens() / TOKENS_PER_MILLI;
         }
     }
 
