--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -163,7 +163,7 @@
     public record RequestCost(int tokens, int prefillTokens) {}
 
     /** Notes that a request was sent, or that it will be once its connection is open. */
-    public void sent(RequestCost work, long nowMillis) {
+    public void onSent(RequestCost work, long nowMillis) {
         inFlight++;
         inFlightTokens += work.tokens();
         waitingTokens += work.prefillTokens();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PlacementTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PlacementTest.java
@@ -27,7 +27,7 @@
 
     @Test
     void theOwnFailureDomainIsPreferredWhileItIsNotBusier() {
-        near.sent(new Target.RequestCost(9_000, 9_000), NOW);
+        near.onSent(new Target.RequestCost(9_000, 9_000), NOW);
 
         assertThat(chosen(0, 0)).isEqualTo("i-also-near");
     }
@@ -35,8 +35,8 @@
     @Test
     void aQueueOfPrefillSendsWorkToAnotherDomain() {
         for (int sent = 0; sent < 3; sent++) {
-            near.sent(new Target.RequestCost(9_000, 9_000), NOW);
-            alsoNear.sent(new Target.RequestCost(9_000, 9_000), NOW);
+            near.onSent(new Target.RequestCost(9_000, 9_000), NOW);
+            alsoNear.onSent(new Target.RequestCost(9_000, 9_000), NOW);
         }
 
         assertThat(chosen(0, 0)).isEqualTo("i-far");
@@ -60,8 +60,8 @@
     @Test
     void enginesWithNewWeightsArePreferred() {
         far.confirmWeights("m", 2, NOW);
-        near.sent(new Target.RequestCost(9_000, 9_000), NOW);
-        alsoNear.sent(new Target.RequestCost(9_000, 9_000), NOW);
+        near.onSent(new Target.RequestCost(9_000, 9_000), NOW);
+        alsoNear.onSent(new Target.RequestCost(9_000, 9_000), NOW);
 
         assertThat(chosen(2, 0)).isEqualTo("i-far");
     }
@@ -103,7 +103,7 @@
         List<Target> engines = List.of(target("i-0", "north", 1), target("i-1", "north", 1));
         PlacementQuery query = query(Hashing.of("relay-3"), 26);
         Target first = Placement.choose(engines, query, NOW).orElseThrow().target();
-        first.sent(new Target.RequestCost(9_000, 9_000), NOW);
+        first.onSent(new Target.RequestCost(9_000, 9_000), NOW);
 
         assertThat(Placement.choose(engines, query, NOW).orElseThrow().target()).isNotSameAs(first);
     }
@@ -117,10 +117,10 @@
         PlacementQuery two =
                 new PlacementQuery("log", "north", Optional.empty(), Optional.empty(), 0, 0, 0, 0, 0, 0, 2, Set.of());
         List<Target> one = List.of(near);
-        near.sent(new Target.RequestCost(0, 0), NOW);
+        near.onSent(new Target.RequestCost(0, 0), NOW);
         assertThat(Placement.choose(one, two, NOW)).isPresent();
 
-        near.sent(new Target.RequestCost(0, 0), NOW);
+        near.onSent(new Target.RequestCost(0, 0), NOW);
         assertThat(Placement.choose(one, two, NOW)).isEmpty();
 
         near.ended(new Target.RequestCost(0, 0), false);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
@@ -53,7 +53,7 @@
         fleet.onLogAvailable(0);
         fleet.apply(ID, Optional.of(entry(5_000, false)), 4, NOW);
         Target before = fleet.find(ID).orElseThrow();
-        before.sent(new Target.RequestCost(5_000, 5_000), NOW);
+        before.onSent(new Target.RequestCost(5_000, 5_000), NOW);
         before.failed(3_000, NOW);
         before.markLoadingWeights(NOW + 60_000);
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
@@ -29,7 +29,7 @@
     void anEngineTakesWhatItHasRoomFor(int running, int unread, boolean late, boolean expected) {
         Target target = PlacementTest.target("i-1", "north", 1);
         for (int sent = 0; sent < running; sent++) {
-            target.sent(new Target.RequestCost(9_000, unread), NOW);
+            target.onSent(new Target.RequestCost(9_000, unread), NOW);
         }
 
         assertThat(SendWindow.targetsWithRoom(List.of(target), ENGINE, 9_000, late, NOW))
@@ -47,7 +47,7 @@
         assertThat(SendWindow.targetsWithRoom(engines, ENGINE, 9_000, false, NOW))
                 .isEqualTo(shared);
 
-        shared.forEach(target -> target.sent(new Target.RequestCost(65_000, 20_000), NOW));
+        shared.forEach(target -> target.onSent(new Target.RequestCost(65_000, 20_000), NOW));
         assertThat(SendWindow.targetsWithRoom(engines, ENGINE, 9_000, false, NOW))
                 .isEmpty();
 
@@ -58,7 +58,7 @@
 
         Target other =
                 SendWindow.targetsWithRoom(engines, ENGINE, 9_000, false, NOW).get(0);
-        other.sent(new Target.RequestCost(45_000, 0), NOW);
+        other.onSent(new Target.RequestCost(45_000, 0), NOW);
         assertThat(SendWindow.targetsWithRoom(engines, ENGINE, 9_000, false, NOW))
                 .doesNotContain(other);
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -173,7 +173,7 @@
         boolean repeatable = plan.route().repeat().repeatable();
         // It counts from now on: what is placed while its connection opens would all go to the same target.
         Target.RequestCost expected = plan.expectedWork();
-        target.sent(expected, state.now());
+        target.onSent(expected, state.now());
         state.workNews().placed(target);
         pools.acquire(target, repeatable, opened -> {
             target.ended(expected, false);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
@@ -18,7 +18,7 @@
         this.outgoing = outgoing;
         this.sentAt = sentAt;
         lastPieceAt = sentAt;
-        target.sent(outgoing.work(), sentAt);
+        target.onSent(outgoing.work(), sentAt);
     }
 
     Target target() {
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -242,7 +242,7 @@
         }
         Target.RequestCost expected = new Target.RequestCost(request.tokens(), request.promptTokens());
         if (policy.countPlaced()) {
-            target.sent(expected, time.millis());
+            target.onSent(expected, time.millis());
             changed(target);
         }
         target.dialling(time.millis());
@@ -303,7 +303,7 @@
         }
 
         void begin() {
-            target.sent(work, time.millis());
+            target.onSent(work, time.millis());
             changed(target);
             tally.sent(tally.workAt(target.id()) + request.tokens(), traits.capacityTokens());
             tally.placed(target.id(), request.tokens());
