--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -173,7 +173,7 @@
     }
 
     /** Notes the first byte of an answer to a request. */
-    public void began(RequestCost work) {
+    public void onFirstByte(RequestCost work) {
         waitingTokens -= work.prefillTokens();
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
@@ -69,7 +69,7 @@
             return false;
         }
         firstPieceMillis = nowMillis - sentAt;
-        target.began(work());
+        target.onFirstByte(work());
         return true;
     }
 
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -331,7 +331,7 @@
         public void token(int number) {
             if (!begun) {
                 begun = true;
-                target.began(work);
+                target.onFirstByte(work);
                 done(target);
                 request.first(time.millis());
                 drain();
