--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -178,7 +178,7 @@
     }
 
     /** Notes that a request has ended, in whatever way. */
-    public void ended(RequestCost work, boolean hadBegun) {
+    public void onEnded(RequestCost work, boolean hadBegun) {
         inFlight--;
         inFlightTokens -= work.tokens();
         if (!hadBegun) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PlacementTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PlacementTest.java
@@ -123,7 +123,7 @@
         near.onSent(new Target.RequestCost(0, 0), NOW);
         assertThat(Placement.choose(one, two, NOW)).isEmpty();
 
-        near.ended(new Target.RequestCost(0, 0), false);
+        near.onEnded(new Target.RequestCost(0, 0), false);
         assertThat(Placement.choose(one, two, NOW)).isPresent();
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
@@ -63,7 +63,7 @@
         assertThat(after).isNotSameAs(before);
         assertThat(after.inFlight()).isZero();
         assertThat(after.isLoadingWeights(NOW)).isFalse();
-        before.ended(new Target.RequestCost(5_000, 5_000), false);
+        before.onEnded(new Target.RequestCost(5_000, 5_000), false);
         assertThat(after.inFlight()).isZero();
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -176,7 +176,7 @@
         target.onSent(expected, state.now());
         state.workNews().placed(target);
         pools.acquire(target, repeatable, opened -> {
-            target.ended(expected, false);
+            target.onEnded(expected, false);
             connected(target, opened);
         });
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
@@ -75,6 +75,6 @@
 
     /** The attempt is over, in whatever way. */
     void end() {
-        target.ended(work(), hasBegun());
+        target.onEnded(work(), hasBegun());
     }
 }
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -249,7 +249,7 @@
         boolean answers = !engines.get(target.id()).isDark();
         time.afterMillis(answers ? DIAL_MILLIS : DIAL_FAILS_MILLIS, () -> {
             if (policy.countPlaced()) {
-                target.ended(expected, false);
+                target.onEnded(expected, false);
             }
             dialled(request, target, answers);
         });
@@ -321,7 +321,7 @@
 
         private void end() {
             over = true;
-            target.ended(work, begun);
+            target.onEnded(work, begun);
             done(target);
             tally.placed(target.id(), -request.tokens());
             drain();
