--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -187,7 +187,7 @@
     }
 
     /** Notes any byte from the target. */
-    public void heard(long nowMillis) {
+    public void onBytesReceived(long nowMillis) {
         lastSignAt = nowMillis;
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
@@ -63,7 +63,7 @@
     boolean piece(long nowMillis) {
         long pause = nowMillis - lastPieceAt;
         lastPieceAt = nowMillis;
-        target.heard(nowMillis);
+        target.onBytesReceived(nowMillis);
         if (hasBegun()) {
             longestPauseMillis = Math.max(longestPauseMillis, pause);
             return false;
