--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -55,7 +55,7 @@
     private long experienceAt;
     private int refusedInARow;
     private long pausedUntil = Long.MIN_VALUE / 2;
-    private long lastSignAt;
+    private long lastActivityAt;
     private long swappingUntil = Long.MIN_VALUE / 2;
     private long confirmedAt = Long.MIN_VALUE / 2;
 
@@ -168,7 +168,7 @@
         inFlightTokens += work.tokens();
         waitingTokens += work.prefillTokens();
         if (inFlight == 1) {
-            lastSignAt = nowMillis;
+            lastActivityAt = nowMillis;
         }
     }
 
@@ -188,12 +188,12 @@
 
     /** Notes any byte from the target. */
     public void onBytesReceived(long nowMillis) {
-        lastSignAt = nowMillis;
+        lastActivityAt = nowMillis;
     }
 
     /** Returns when the target was last heard of, or got work while it had none. */
-    public long lastSignAt() {
-        return lastSignAt;
+    public long lastActivityAt() {
+        return lastActivityAt;
     }
 
     /** Notes the load that the target told of itself. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
@@ -40,7 +40,7 @@
         long quiet = state.now() - attempt.lastPieceAt();
         boolean gone = attempt.target().isUnreachable();
         long limit = Patience.millis(route, attempt.hasBegun(), gone);
-        boolean servesOthers = attempt.target().lastSignAt() > attempt.lastPieceAt();
+        boolean servesOthers = attempt.target().lastActivityAt() > attempt.lastPieceAt();
         if (quiet >= limit && mayGoElsewhere(quiet, servesOthers)) {
             tooLong.accept(quiet);
         }
