--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -197,7 +197,7 @@
     }
 
     /** Notes the load that the target told of itself. */
-    public void reportedLoad(int running, int waiting, long nowMillis) {
+    public void updateReportedLoad(int running, int waiting, long nowMillis) {
         // Our own share is known exactly; what is left is the other gateways'.
         othersRunning = Math.max(0, running + waiting - inFlight);
         othersWaiting = Math.min(waiting, othersRunning);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -236,7 +236,7 @@
         Target target = attempt.target();
         facts.load().ifPresent(told -> {
             load = told.running() + "/" + told.waiting();
-            target.reportedLoad(told.running(), told.waiting(), state.now());
+            target.updateReportedLoad(told.running(), told.waiting(), state.now());
         });
         plan.facts()
                 .model()
