--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -205,7 +205,7 @@
     }
 
     /** Notes a success, and by how much its first byte was later than expected of a healthy target, in ms. */
-    public void succeeded(double excessMillis, long nowMillis) {
+    public void recordSuccess(double excessMillis, long nowMillis) {
         fade(nowMillis);
         reach.answers();
         refusedInARow = 0;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -171,7 +171,7 @@
         target.refused(NOW);
         assertThat(target.isPaused(NOW + 900)).isTrue();
 
-        target.succeeded(0, NOW + 900);
+        target.recordSuccess(0, NOW + 900);
         assertThat(target.isPaused(NOW + 900)).isFalse();
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
@@ -71,7 +71,7 @@
         target.dialling(NOW);
         target.dialled(false, NOW + 1);
 
-        target.succeeded(0, NOW + 2);
+        target.recordSuccess(0, NOW + 2);
 
         assertThat(target.isPaused(NOW + 2)).isFalse();
         assertThat(target.isDialDue()).isFalse();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -300,7 +300,7 @@
         } else {
             quarantine.answered();
             long taken = plan.route().repeat().stream() ? attempt.firstPieceMillis() : now - attempt.sentAt();
-            target.succeeded(taken - plan.expectedFirstMillis(), now);
+            target.recordSuccess(taken - plan.expectedFirstMillis(), now);
         }
         endAttempt("answered");
         finished(Integer.toString(answer.status()), "passed on");
