--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -215,7 +215,7 @@
     }
 
     /** Notes a failure after the request was sent, and how long was waited for it, in ms. */
-    public void failed(double waitedMillis, long nowMillis) {
+    public void recordFailure(double waitedMillis, long nowMillis) {
         fade(nowMillis);
         firstByteExcess = Math.max(firstByteExcess, SAMPLE_WEIGHT * waitedMillis);
         failures += OUTCOME_WEIGHT * (1 - failures);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PlacementTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PlacementTest.java
@@ -46,8 +46,8 @@
     @Test
     void aFailingTargetIsLeftAndTriedAgainAfterAWhile() {
         for (int failures = 0; failures < 4; failures++) {
-            near.failed(300, NOW);
-            alsoNear.failed(300, NOW);
+            near.recordFailure(300, NOW);
+            alsoNear.recordFailure(300, NOW);
         }
 
         assertThat(chosen(0, 0)).isEqualTo("i-far");
@@ -72,7 +72,7 @@
         assertThat(Placement.choose(targets, onWeights(2, 2), NOW)).isEmpty();
 
         near.confirmWeights("m", 2, NOW);
-        near.failed(4_000, NOW);
+        near.recordFailure(4_000, NOW);
         assertThat(chosen(2, 2)).isEqualTo("i-near");
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
@@ -54,7 +54,7 @@
         fleet.apply(ID, Optional.of(entry(5_000, false)), 4, NOW);
         Target before = fleet.find(ID).orElseThrow();
         before.onSent(new Target.RequestCost(5_000, 5_000), NOW);
-        before.failed(3_000, NOW);
+        before.recordFailure(3_000, NOW);
         before.markLoadingWeights(NOW + 60_000);
 
         fleet.apply(ID, Optional.of(entry(7_000, false)), 5, NOW);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -296,7 +296,7 @@
         Target target = attempt.target();
         long now = state.now();
         if (answer.status() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code()) {
-            target.failed(0, now);
+            target.recordFailure(0, now);
         } else {
             quarantine.answered();
             long taken = plan.route().repeat().stream() ? attempt.firstPieceMillis() : now - attempt.sentAt();
@@ -354,7 +354,7 @@
         Target target = attempt.target();
         long after = state.now() - attempt.sentAt();
         if (outcome.mayHaveRun()) {
-            target.failed(after, state.now());
+            target.recordFailure(after, state.now());
         }
         if (outcome == AttemptOutcome.BROKEN) {
             log.broken(target.id(), reason, after, answer.began(), quarantine.fingerprint());
