--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -222,7 +222,7 @@
     }
 
     /** Notes that a connection to it is being opened. */
-    public void dialling(long nowMillis) {
+    public void onDialStarted(long nowMillis) {
         reach.dialling(nowMillis);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
@@ -113,7 +113,7 @@
             String id = "i-" + index;
             fleet.apply(id, Optional.of(entry(id, false)), index, 1_000);
             Target target = fleet.find(id).orElseThrow();
-            target.dialling(1_000);
+            target.onDialStarted(1_000);
             target.dialled(index >= lost, 1_400);
         }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
@@ -22,26 +22,26 @@
     @ParameterizedTest
     @CsvSource({"0, false", "40, false", "81, true", "300, true"})
     void aTargetThatDoesNotAnswerADialIsLeftAloneBeforeTheDialHasFailed(long after, boolean paused) {
-        target.dialling(NOW);
+        target.onDialStarted(NOW);
 
         assertThat(target.isPaused(NOW + after)).isEqualTo(paused);
     }
 
     @Test
     void aTargetThatCouldNotBeReachedTakesNoRequestUntilADialHasOpened() {
-        target.dialling(NOW);
+        target.onDialStarted(NOW);
         target.dialled(false, NOW + 400);
         assertThat(target.isPaused(NOW + 401)).isTrue();
         assertThat(target.isPaused(NOW + 60_000)).isTrue();
 
-        target.dialling(NOW + 60_000);
+        target.onDialStarted(NOW + 60_000);
 
         assertThat(target.isPaused(NOW + 60_001)).isTrue();
     }
 
     @Test
     void aDialThatIsOverdueCountsAsFailedUntilItOpens() {
-        target.dialling(NOW);
+        target.onDialStarted(NOW);
         target.dialOverdue();
         assertThat(target.isUnreachable()).isTrue();
         assertThat(target.isDialDue()).as("one is under way").isFalse();
@@ -54,21 +54,21 @@
 
     @Test
     void aTargetThatIsReachedAgainTakesWorkAtOnce() {
-        target.dialling(NOW);
+        target.onDialStarted(NOW);
         target.dialled(false, NOW + 400);
         assertThat(target.isDialDue()).isTrue();
-        target.dialling(NOW + 700);
+        target.onDialStarted(NOW + 700);
         target.dialled(true, NOW + 702);
 
         assertThat(target.isPaused(NOW + 702)).isFalse();
-        target.dialling(NOW + 703);
+        target.onDialStarted(NOW + 703);
         assertThat(target.isPaused(NOW + 704)).isFalse();
     }
 
     /** An answer on an older connection says more than a dial: the target may be out of connections. */
     @Test
     void aTargetThatAnswersIsThere() {
-        target.dialling(NOW);
+        target.onDialStarted(NOW);
         target.dialled(false, NOW + 1);
 
         target.recordSuccess(0, NOW + 2);
@@ -81,7 +81,7 @@
     @CsvSource({"1, 250", "2, 500", "3, 1000", "4, 2000", "9, 2000"})
     void dialsThatFailGrowRarer(int failed, long millis) {
         for (int dial = 0; dial < failed; dial++) {
-            target.dialling(NOW);
+            target.onDialStarted(NOW);
             target.dialled(false, NOW);
         }
 
@@ -92,12 +92,12 @@
     @Test
     void aTargetIsDialledOnSuspicionOnlyIfThatTellsSomethingNew() {
         assertThat(target.isWorthDialling(NOW)).isTrue();
-        target.dialling(NOW);
+        target.onDialStarted(NOW);
         assertThat(target.isWorthDialling(NOW + 1)).as("under way").isFalse();
         target.dialled(true, NOW + 1);
         assertThat(target.isWorthDialling(NOW + 400)).as("seen lately").isFalse();
         assertThat(target.isWorthDialling(NOW + 501)).isTrue();
-        target.dialling(NOW + 501);
+        target.onDialStarted(NOW + 501);
         target.dialled(false, NOW + 502);
         assertThat(target.isWorthDialling(NOW + 9_000)).as("known to be gone").isFalse();
     }
@@ -105,7 +105,7 @@
     @Test
     void aRefusalOutlastsADialThatSucceeds() {
         target.refused(NOW);
-        target.dialling(NOW + 1);
+        target.onDialStarted(NOW + 1);
         target.dialled(true, NOW + 2);
 
         assertThat(target.isPaused(NOW + 3)).isTrue();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -156,7 +156,7 @@
     private void dial(Target target, Pool pool, Claim claim, Consumer<Dial> then) {
         Address address = target.registration().address();
         long began = clock.getAsLong();
-        target.dialling(began);
+        target.onDialStarted(began);
         TargetConnection[] made = new TargetConnection[1];
         connector
                 .clone()
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -245,7 +245,7 @@
             target.onSent(expected, time.millis());
             changed(target);
         }
-        target.dialling(time.millis());
+        target.onDialStarted(time.millis());
         boolean answers = !engines.get(target.id()).isDark();
         time.afterMillis(answers ? DIAL_MILLIS : DIAL_FAILS_MILLIS, () -> {
             if (policy.countPlaced()) {
@@ -270,7 +270,7 @@
             return;
         }
         boolean opened = !engines.get(target.id()).isDark();
-        target.dialling(time.millis());
+        target.onDialStarted(time.millis());
         target.dialled(opened, time.millis());
         if (opened) {
             drain();
