--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -227,7 +227,7 @@
     }
 
     /** Notes that a connection was opened, or that it couldn't be. */
-    public void dialled(boolean opened, long nowMillis) {
+    public void onDialFinished(boolean opened, long nowMillis) {
         reach.dialled(opened, nowMillis);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
@@ -114,7 +114,7 @@
             fleet.apply(id, Optional.of(entry(id, false)), index, 1_000);
             Target target = fleet.find(id).orElseThrow();
             target.onDialStarted(1_000);
-            target.dialled(index >= lost, 1_400);
+            target.onDialFinished(index >= lost, 1_400);
         }
 
         assertThat(fleet.unreachableTargets(1_400)).hasSize(told);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
@@ -30,7 +30,7 @@
     @Test
     void aTargetThatCouldNotBeReachedTakesNoRequestUntilADialHasOpened() {
         target.onDialStarted(NOW);
-        target.dialled(false, NOW + 400);
+        target.onDialFinished(false, NOW + 400);
         assertThat(target.isPaused(NOW + 401)).isTrue();
         assertThat(target.isPaused(NOW + 60_000)).isTrue();
 
@@ -46,7 +46,7 @@
         assertThat(target.isUnreachable()).isTrue();
         assertThat(target.isDialDue()).as("one is under way").isFalse();
 
-        target.dialled(true, NOW + 300);
+        target.onDialFinished(true, NOW + 300);
 
         assertThat(target.isUnreachable()).isFalse();
         assertThat(target.isPaused(NOW + 300)).isFalse();
@@ -55,10 +55,10 @@
     @Test
     void aTargetThatIsReachedAgainTakesWorkAtOnce() {
         target.onDialStarted(NOW);
-        target.dialled(false, NOW + 400);
+        target.onDialFinished(false, NOW + 400);
         assertThat(target.isDialDue()).isTrue();
         target.onDialStarted(NOW + 700);
-        target.dialled(true, NOW + 702);
+        target.onDialFinished(true, NOW + 702);
 
         assertThat(target.isPaused(NOW + 702)).isFalse();
         target.onDialStarted(NOW + 703);
@@ -69,7 +69,7 @@
     @Test
     void aTargetThatAnswersIsThere() {
         target.onDialStarted(NOW);
-        target.dialled(false, NOW + 1);
+        target.onDialFinished(false, NOW + 1);
 
         target.recordSuccess(0, NOW + 2);
 
@@ -82,7 +82,7 @@
     void dialsThatFailGrowRarer(int failed, long millis) {
         for (int dial = 0; dial < failed; dial++) {
             target.onDialStarted(NOW);
-            target.dialled(false, NOW);
+            target.onDialFinished(false, NOW);
         }
 
         assertThat(target.dialAgainAfterMillis()).isEqualTo(millis);
@@ -94,11 +94,11 @@
         assertThat(target.isWorthDialling(NOW)).isTrue();
         target.onDialStarted(NOW);
         assertThat(target.isWorthDialling(NOW + 1)).as("under way").isFalse();
-        target.dialled(true, NOW + 1);
+        target.onDialFinished(true, NOW + 1);
         assertThat(target.isWorthDialling(NOW + 400)).as("seen lately").isFalse();
         assertThat(target.isWorthDialling(NOW + 501)).isTrue();
         target.onDialStarted(NOW + 501);
-        target.dialled(false, NOW + 502);
+        target.onDialFinished(false, NOW + 502);
         assertThat(target.isWorthDialling(NOW + 9_000)).as("known to be gone").isFalse();
     }
 
@@ -106,7 +106,7 @@
     void aRefusalOutlastsADialThatSucceeds() {
         target.refused(NOW);
         target.onDialStarted(NOW + 1);
-        target.dialled(true, NOW + 2);
+        target.onDialFinished(true, NOW + 2);
 
         assertThat(target.isPaused(NOW + 3)).isTrue();
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -181,7 +181,7 @@
 
     private void opened(Target target, Pool pool, Claim claim, TargetConnection connection) {
         boolean wasLost = target.isUnreachable();
-        target.dialled(true, clock.getAsLong());
+        target.onDialFinished(true, clock.getAsLong());
         if (claim.isOpen()) {
             claim.settle(connection);
         } else {
@@ -193,7 +193,7 @@
     }
 
     private void notOpened(Target target, Pool pool, Claim claim) {
-        target.dialled(false, clock.getAsLong());
+        target.onDialFinished(false, clock.getAsLong());
         if (!pool.willDial) {
             pool.willDial = true;
             loop.schedule(() -> dialAgain(target, pool), target.dialAgainAfterMillis(), TimeUnit.MILLISECONDS);
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -256,7 +256,7 @@
     }
 
     private void dialled(ModelRequest request, Target target, boolean opened) {
-        target.dialled(opened, time.millis());
+        target.onDialFinished(opened, time.millis());
         if (!opened) {
             time.afterMillis(DIAL_AGAIN_MILLIS, () -> dialAgain(target));
             take(request);
@@ -271,7 +271,7 @@
         }
         boolean opened = !engines.get(target.id()).isDark();
         target.onDialStarted(time.millis());
-        target.dialled(opened, time.millis());
+        target.onDialFinished(opened, time.millis());
         if (opened) {
             drain();
         } else {
