--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -232,7 +232,7 @@
     }
 
     /** Notes that a connection takes longer to open than a request waits for it. */
-    public void dialOverdue() {
+    public void onDialOverdue() {
         reach.overdue();
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
@@ -42,7 +42,7 @@
     @Test
     void aDialThatIsOverdueCountsAsFailedUntilItOpens() {
         target.onDialStarted(NOW);
-        target.dialOverdue();
+        target.onDialOverdue();
         assertThat(target.isUnreachable()).isTrue();
         assertThat(target.isDialDue()).as("one is under way").isFalse();
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -142,7 +142,7 @@
 
     private static void giveUp(Target target, Claim claim) {
         if (claim.isOpen()) {
-            target.dialOverdue();
+            target.onDialOverdue();
             claim.settle(null);
         }
     }
