--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -242,7 +242,7 @@
     }
 
     /** Returns how long after a dial that failed the next one is due, in ms. */
-    public long dialAgainAfterMillis() {
+    public long redialDelayMillis() {
         return reach.retryAfterMillis();
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
@@ -85,7 +85,7 @@
             target.onDialFinished(false, NOW);
         }
 
-        assertThat(target.dialAgainAfterMillis()).isEqualTo(millis);
+        assertThat(target.redialDelayMillis()).isEqualTo(millis);
     }
 
     /** Others say that a target is gone: each relay looks for itself, but not over and over. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -196,7 +196,7 @@
         target.onDialFinished(false, clock.getAsLong());
         if (!pool.willDial) {
             pool.willDial = true;
-            loop.schedule(() -> dialAgain(target, pool), target.dialAgainAfterMillis(), TimeUnit.MILLISECONDS);
+            loop.schedule(() -> dialAgain(target, pool), target.redialDelayMillis(), TimeUnit.MILLISECONDS);
         }
         if (claim.isOpen()) {
             claim.settle(null);
