--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -247,7 +247,7 @@
     }
 
     /** Returns whether it should be dialled again, since it couldn't be reached. */
-    public boolean isDialDue() {
+    public boolean isRedialDue() {
         return reach.isDialDue();
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
@@ -44,7 +44,7 @@
         target.onDialStarted(NOW);
         target.onDialOverdue();
         assertThat(target.isUnreachable()).isTrue();
-        assertThat(target.isDialDue()).as("one is under way").isFalse();
+        assertThat(target.isRedialDue()).as("one is under way").isFalse();
 
         target.onDialFinished(true, NOW + 300);
 
@@ -56,7 +56,7 @@
     void aTargetThatIsReachedAgainTakesWorkAtOnce() {
         target.onDialStarted(NOW);
         target.onDialFinished(false, NOW + 400);
-        assertThat(target.isDialDue()).isTrue();
+        assertThat(target.isRedialDue()).isTrue();
         target.onDialStarted(NOW + 700);
         target.onDialFinished(true, NOW + 702);
 
@@ -74,7 +74,7 @@
         target.recordSuccess(0, NOW + 2);
 
         assertThat(target.isPaused(NOW + 2)).isFalse();
-        assertThat(target.isDialDue()).isFalse();
+        assertThat(target.isRedialDue()).isFalse();
     }
 
     @ParameterizedTest
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -205,7 +205,7 @@
 
     private void dialAgain(Target target, Pool pool) {
         pool.willDial = false;
-        if (target.isDialDue() && reached.isKnown(target)) {
+        if (target.isRedialDue() && reached.isKnown(target)) {
             dialAlone(target);
         }
     }
