--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -252,7 +252,7 @@
     }
 
     /** Returns whether a dial would tell something new of it. */
-    public boolean isWorthDialling(long nowMillis) {
+    public boolean isProbeUseful(long nowMillis) {
         return reach.isWorthDialling(nowMillis);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
@@ -91,15 +91,15 @@
     /** Others say that a target is gone: each relay looks for itself, but not over and over. */
     @Test
     void aTargetIsDialledOnSuspicionOnlyIfThatTellsSomethingNew() {
-        assertThat(target.isWorthDialling(NOW)).isTrue();
+        assertThat(target.isProbeUseful(NOW)).isTrue();
         target.onDialStarted(NOW);
-        assertThat(target.isWorthDialling(NOW + 1)).as("under way").isFalse();
+        assertThat(target.isProbeUseful(NOW + 1)).as("under way").isFalse();
         target.onDialFinished(true, NOW + 1);
-        assertThat(target.isWorthDialling(NOW + 400)).as("seen lately").isFalse();
-        assertThat(target.isWorthDialling(NOW + 501)).isTrue();
+        assertThat(target.isProbeUseful(NOW + 400)).as("seen lately").isFalse();
+        assertThat(target.isProbeUseful(NOW + 501)).isTrue();
         target.onDialStarted(NOW + 501);
         target.onDialFinished(false, NOW + 502);
-        assertThat(target.isWorthDialling(NOW + 9_000)).as("known to be gone").isFalse();
+        assertThat(target.isProbeUseful(NOW + 9_000)).as("known to be gone").isFalse();
     }
 
     @Test
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -126,7 +126,7 @@
 
     /** Dials a target without a request, to see whether it is there; what opens is kept for the next request. */
     void verify(Target target) {
-        if (target.isWorthDialling(clock.getAsLong())) {
+        if (target.isProbeUseful(clock.getAsLong())) {
             dialAlone(target);
         }
     }
