--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -260,7 +260,7 @@
      * Notes that the target refused a request. The pause doubles with each refusal in a row: a target that loads
      * weights refuses for seconds, and a relay that doesn't know of it would spend its retries there.
      */
-    public void refused(long nowMillis) {
+    public void onRejected(long nowMillis) {
         long pause = Math.min(LONGEST_PAUSE_MILLIS, FIRST_PAUSE_MILLIS << Math.min(3, refusedInARow));
         refusedInARow++;
         pausedUntil = Math.max(pausedUntil, nowMillis + pause);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -165,10 +165,10 @@
     @Test
     void anEngineThatKeepsRefusingIsLeftAloneForLonger() {
         Target target = PlacementTest.target("i-1", "north", 1);
-        target.refused(NOW);
+        target.onRejected(NOW);
         assertThat(target.isPaused(NOW + 300)).isFalse();
-        target.refused(NOW);
-        target.refused(NOW);
+        target.onRejected(NOW);
+        target.onRejected(NOW);
         assertThat(target.isPaused(NOW + 900)).isTrue();
 
         target.recordSuccess(0, NOW + 900);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
@@ -104,7 +104,7 @@
 
     @Test
     void aRefusalOutlastsADialThatSucceeds() {
-        target.refused(NOW);
+        target.onRejected(NOW);
         target.onDialStarted(NOW + 1);
         target.onDialFinished(true, NOW + 2);
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -248,7 +248,7 @@
             case PASS_ON -> answer.head(response);
             case MISDIRECTED -> misdirected(target, facts);
             case REJECTED -> {
-                target.refused(state.now());
+                target.onRejected(state.now());
                 drop(AttemptOutcome.REJECTED, "rejected with " + facts.status());
             }
             case NO_ANSWER -> {
@@ -272,7 +272,7 @@
             state.log().warn("target_replaced", "target", target.id(), "found", other.get());
             state.fleet().removeReplaced(target.id());
         } else {
-            target.refused(state.now());
+            target.onRejected(state.now());
         }
         drop(AttemptOutcome.MISDIRECTED, other.isPresent() ? "another target" : "other weights");
     }
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/model/ModelRelay.java
@@ -347,7 +347,7 @@
         @Override
         public void rejected() {
             end();
-            target.refused(time.millis());
+            target.onRejected(time.millis());
             take(request);
         }
     }
