--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Placement.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Placement.java
@@ -98,7 +98,7 @@
         double millis = query.engine().isPresent()
                 ? engineMillis(target, query, query.engine().get(), nowMillis)
                 : plainMillis(target, nowMillis);
-        millis += target.firstByteExcess(nowMillis) + FAILURE_MILLIS * target.failures(nowMillis);
+        millis += target.firstByteExcess(nowMillis) + FAILURE_MILLIS * target.failureRatio(nowMillis);
         if (!target.registration().failureDomain().equals(query.failureDomain())) {
             millis += DOMAIN_MILLIS + DOMAIN_MILLIS_PER_KILOTOKEN * query.tokens() / 1_000;
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -51,7 +51,7 @@
     private int othersWaiting;
     private long loadAt = Long.MIN_VALUE / 2;
     private double firstByteExcess;
-    private double failures;
+    private double failureRatio;
     private long experienceAt;
     private int refusedInARow;
     private long pausedUntil = Long.MIN_VALUE / 2;
@@ -211,14 +211,14 @@
         refusedInARow = 0;
         pausedUntil = Long.MIN_VALUE / 2;
         firstByteExcess += SAMPLE_WEIGHT * (Math.max(0, excessMillis) - firstByteExcess);
-        failures -= OUTCOME_WEIGHT * failures;
+        failureRatio -= OUTCOME_WEIGHT * failureRatio;
     }
 
     /** Notes a failure after the request was sent, and how long was waited for it, in ms. */
     public void recordFailure(double waitedMillis, long nowMillis) {
         fade(nowMillis);
         firstByteExcess = Math.max(firstByteExcess, SAMPLE_WEIGHT * waitedMillis);
-        failures += OUTCOME_WEIGHT * (1 - failures);
+        failureRatio += OUTCOME_WEIGHT * (1 - failureRatio);
     }
 
     /** Notes that a connection to it is being opened. */
@@ -315,15 +315,15 @@
     }
 
     /** Returns the share of failures among its recent answers, 0 to 1. */
-    public double failures(long nowMillis) {
+    public double failureRatio(long nowMillis) {
         fade(nowMillis);
-        return failures;
+        return failureRatio;
     }
 
     private void fade(long nowMillis) {
         double kept = Math.pow(0.5, Math.max(0, nowMillis - experienceAt) / HALF_LIFE_MILLIS);
         firstByteExcess *= kept;
-        failures *= kept;
+        failureRatio *= kept;
         experienceAt = nowMillis;
     }
 }
