--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/NamedVersions.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/DesiredVersions.java
@@ -18,7 +18,7 @@
  *
  * <p>Times are milliseconds of a steady clock.
  */
-public final class NamedVersions {
+public final class DesiredVersions {
     /** Versions of a model that are remembered: older ones are beyond every bound. */
     private static final int REMEMBERED = 16;
 
@@ -65,7 +65,7 @@
         TreeMap<Long, Long> versions = sinceByModel.get(model);
         // A version is only taken over from the store; of those before it the relay may have read nothing.
         if (versions != null && versions.lastKey() >= version) {
-            versions.merge(version, nowMillis - ageMillis, NamedVersions::earlier);
+            versions.merge(version, nowMillis - ageMillis, DesiredVersions::earlier);
         }
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/NamedVersionsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/NamedVersionsTest.java
@@ -5,12 +5,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.rattanrudder.core.rollout.NamedVersions.Named;
+import org.rattanrudder.core.rollout.DesiredVersions.Named;
 
 class NamedVersionsTest {
     private static final long ALLOWED = 13_000;
 
-    private final NamedVersions versions = new NamedVersions();
+    private final DesiredVersions versions = new DesiredVersions();
 
     /**
      * Weights are named, a relay is restarted ten seconds later and reads of them as if they were new. It would let
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -26,7 +26,7 @@
 import org.rattanrudder.core.gateway.ContextStore;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.SharedNews;
-import org.rattanrudder.core.rollout.NamedVersions;
+import org.rattanrudder.core.rollout.DesiredVersions;
 import org.rattanrudder.daemon.logging.EventLog;
 import org.rattanrudder.daemon.loop.Closer;
 import org.rattanrudder.daemon.loop.MonotonicClock;
@@ -201,7 +201,7 @@
         }
 
         private void named(NamedWeights weights, long offset) {
-            NamedVersions versions = state.weights();
+            DesiredVersions versions = state.weights();
             boolean news = caughtUp
                     ? versions.named(weights.model(), weights.version(), state.now())
                     : versions.found(weights.model(), weights.version());
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -20,7 +20,7 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.PartDirectory;
 import org.rattanrudder.core.quarantine.Quarantine;
-import org.rattanrudder.core.rollout.NamedVersions;
+import org.rattanrudder.core.rollout.DesiredVersions;
 import org.rattanrudder.core.routing.Hashing;
 import org.rattanrudder.daemon.logging.EventLog;
 import org.rattanrudder.daemon.relay.port.PlatformAdapter;
@@ -43,7 +43,7 @@
     private final Fleet fleet = new Fleet();
     private final PartDirectory directory;
     private final Map<String, RetryAllowance> allowances = new HashMap<>();
-    private final NamedVersions weights = new NamedVersions();
+    private final DesiredVersions weights = new DesiredVersions();
     private final Map<String, HoldingQueue<Exchange>> lines = new HashMap<>();
     private final Set<String> linesBeingDrained = new HashSet<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
@@ -185,7 +185,7 @@
     }
 
     /** Returns the versions of weights that were named. */
-    NamedVersions weights() {
+    DesiredVersions weights() {
         return weights;
     }
 
