--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/DesiredVersions.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/DesiredVersions.java
@@ -34,7 +34,7 @@
      * @param version the version
      * @param sinceMillis when it was named at the latest
      */
-    public record Named(String model, long version, long sinceMillis) {}
+    public record DesiredVersion(String model, long version, long sinceMillis) {}
 
     /** Notes a version that was named just now; returns whether it is newer than what was known. */
     public boolean named(String model, long version, long nowMillis) {
@@ -101,11 +101,11 @@
     }
 
     /** Returns the versions that are remembered and of which it is known since when. */
-    public List<Named> all() {
-        List<Named> all = new ArrayList<>();
+    public List<DesiredVersion> all() {
+        List<DesiredVersion> all = new ArrayList<>();
         sinceByModel.forEach((model, versions) -> versions.forEach((version, since) -> {
             if (since != LONG_AGO) {
-                all.add(new Named(model, version, since));
+                all.add(new DesiredVersion(model, version, since));
             }
         }));
         return all;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/NamedVersionsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/NamedVersionsTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.rattanrudder.core.rollout.DesiredVersions.Named;
+import org.rattanrudder.core.rollout.DesiredVersions.DesiredVersion;
 
 class NamedVersionsTest {
     private static final long ALLOWED = 13_000;
@@ -22,7 +22,7 @@
         versions.known("m", 2, 10_000, 50_100);
         versions.known("m", 2, 3_000, 50_200);
 
-        assertThat(versions.all()).containsExactly(new Named("m", 2, 40_100));
+        assertThat(versions.all()).containsExactly(new DesiredVersion("m", 2, 40_100));
     }
 
     @Test
@@ -87,7 +87,7 @@
 
         assertThat(versions.oldestAllowed("m", ALLOWED, 28_999)).isZero();
         assertThat(versions.oldestAllowed("m", ALLOWED, 29_000)).isEqualTo(3);
-        assertThat(versions.all()).containsExactly(new Named("m", 3, 16_000));
+        assertThat(versions.all()).containsExactly(new DesiredVersion("m", 3, 16_000));
     }
 
     @Test
