--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/DesiredVersions.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/DesiredVersions.java
@@ -37,7 +37,7 @@
     public record DesiredVersion(String model, long version, long sinceMillis) {}
 
     /** Notes a version that was named just now; returns whether it is newer than what was known. */
-    public boolean named(String model, long version, long nowMillis) {
+    public boolean addDesired(String model, long version, long nowMillis) {
         return note(model, version, nowMillis);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/NamedVersionsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/NamedVersionsTest.java
@@ -18,7 +18,7 @@
      */
     @Test
     void theLongestThatAnyRelayHasKnownAVersionCounts() {
-        versions.named("m", 2, 50_000);
+        versions.addDesired("m", 2, 50_000);
         versions.known("m", 2, 10_000, 50_100);
         versions.known("m", 2, 3_000, 50_200);
 
@@ -27,7 +27,7 @@
 
     @Test
     void aVersionIsTakenOnlyFromTheStore() {
-        versions.named("m", 2, 50_000);
+        versions.addDesired("m", 2, 50_000);
         versions.known("m", 3, 60_000, 50_100);
         versions.known("other", 1, 60_000, 50_100);
 
@@ -37,9 +37,9 @@
 
     @Test
     void anOlderVersionNeverReplacesANewerOne() {
-        assertThat(versions.named("m", 2, 10)).isTrue();
-        assertThat(versions.named("m", 1, 20)).isFalse();
-        assertThat(versions.named("m", 2, 30)).isFalse();
+        assertThat(versions.addDesired("m", 2, 10)).isTrue();
+        assertThat(versions.addDesired("m", 1, 20)).isFalse();
+        assertThat(versions.addDesired("m", 2, 30)).isFalse();
         assertThat(versions.newest("m")).isEqualTo(2);
     }
 
@@ -50,8 +50,8 @@
     @ParameterizedTest
     @CsvSource({"10000, 0", "22999, 0", "23000, 2", "26999, 2", "27000, 3"})
     void eachVersionHasItsOwnTime(long now, long oldest) {
-        versions.named("m", 2, 10_000);
-        versions.named("m", 3, 14_000);
+        versions.addDesired("m", 2, 10_000);
+        versions.addDesired("m", 3, 14_000);
 
         assertThat(versions.oldestAllowed("m", ALLOWED, now)).isEqualTo(oldest);
     }
@@ -59,7 +59,7 @@
     /** A relay that is started after both namings reads only the newest; the others know of the one before. */
     @Test
     void theTimeOfAnEarlierVersionIsLearntFromOthers() {
-        versions.named("m", 3, 20_000);
+        versions.addDesired("m", 3, 20_000);
         versions.known("m", 2, 12_500, 20_100);
 
         assertThat(versions.oldestAllowed("m", ALLOWED, 20_700)).isEqualTo(2);
@@ -93,7 +93,7 @@
     @Test
     void aVersionThatIsNamedWhileTheRelayRunsHasItsWholeTime() {
         versions.found("m", 3);
-        versions.named("m", 4, 50_000);
+        versions.addDesired("m", 4, 50_000);
 
         assertThat(versions.oldestAllowed("m", ALLOWED, 62_999)).isEqualTo(3);
         assertThat(versions.oldestAllowed("m", ALLOWED, 63_000)).isEqualTo(4);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -203,7 +203,7 @@
         private void named(NamedWeights weights, long offset) {
             DesiredVersions versions = state.weights();
             boolean news = caughtUp
-                    ? versions.named(weights.model(), weights.version(), state.now())
+                    ? versions.addDesired(weights.model(), weights.version(), state.now())
                     : versions.found(weights.model(), weights.version());
             if (news) {
                 orders.wake();
