--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/DesiredVersions.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/DesiredVersions.java
@@ -46,7 +46,7 @@
      * All relays lost power six seconds after a naming and counted anew when they were back: requests began on old
      * weights 14 s after the naming, where 10 s were allowed.
      */
-    public boolean found(String model, long version) {
+    public boolean addFoundAtStart(String model, long version) {
         return note(model, version, LONG_AGO);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/NamedVersionsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/NamedVersionsTest.java
@@ -72,7 +72,7 @@
      */
     @Test
     void whereNobodyKnowsSinceWhenAVersionCountsAsNamedLongAgo() {
-        versions.found("m", 3);
+        versions.addFoundAtStart("m", 3);
 
         assertThat(versions.oldestAllowed("m", ALLOWED, 20)).isEqualTo(3);
         assertThat(versions.all()).isEmpty();
@@ -81,7 +81,7 @@
     /** One relay of several is restarted: the others say since when, and the engines that still load may be used. */
     @Test
     void whoeverKnowsSinceWhenIsBelieved() {
-        versions.found("m", 3);
+        versions.addFoundAtStart("m", 3);
         versions.known("m", 3, 4_000, 20_000);
         versions.known("m", 3, 3_000, 20_000);
 
@@ -92,7 +92,7 @@
 
     @Test
     void aVersionThatIsNamedWhileTheRelayRunsHasItsWholeTime() {
-        versions.found("m", 3);
+        versions.addFoundAtStart("m", 3);
         versions.addDesired("m", 4, 50_000);
 
         assertThat(versions.oldestAllowed("m", ALLOWED, 62_999)).isEqualTo(3);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -204,7 +204,7 @@
             DesiredVersions versions = state.weights();
             boolean news = caughtUp
                     ? versions.addDesired(weights.model(), weights.version(), state.now())
-                    : versions.found(weights.model(), weights.version());
+                    : versions.addFoundAtStart(weights.model(), weights.version());
             if (news) {
                 orders.wake();
                 state.log()
