--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/DesiredVersions.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/DesiredVersions.java
@@ -61,7 +61,7 @@
     }
 
     /** Notes for how long another relay has known a version, if an equal or newer one is known here. */
-    public void known(String model, long version, long ageMillis, long nowMillis) {
+    public void applyPeerAge(String model, long version, long ageMillis, long nowMillis) {
         TreeMap<Long, Long> versions = sinceByModel.get(model);
         // A version is only taken over from the store; of those before it the relay may have read nothing.
         if (versions != null && versions.lastKey() >= version) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/NamedVersionsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/NamedVersionsTest.java
@@ -19,8 +19,8 @@
     @Test
     void theLongestThatAnyRelayHasKnownAVersionCounts() {
         versions.addDesired("m", 2, 50_000);
-        versions.known("m", 2, 10_000, 50_100);
-        versions.known("m", 2, 3_000, 50_200);
+        versions.applyPeerAge("m", 2, 10_000, 50_100);
+        versions.applyPeerAge("m", 2, 3_000, 50_200);
 
         assertThat(versions.all()).containsExactly(new DesiredVersion("m", 2, 40_100));
     }
@@ -28,8 +28,8 @@
     @Test
     void aVersionIsTakenOnlyFromTheStore() {
         versions.addDesired("m", 2, 50_000);
-        versions.known("m", 3, 60_000, 50_100);
-        versions.known("other", 1, 60_000, 50_100);
+        versions.applyPeerAge("m", 3, 60_000, 50_100);
+        versions.applyPeerAge("other", 1, 60_000, 50_100);
 
         assertThat(versions.newest("m")).isEqualTo(2);
         assertThat(versions.newest("other")).isZero();
@@ -60,7 +60,7 @@
     @Test
     void theTimeOfAnEarlierVersionIsLearntFromOthers() {
         versions.addDesired("m", 3, 20_000);
-        versions.known("m", 2, 12_500, 20_100);
+        versions.applyPeerAge("m", 2, 12_500, 20_100);
 
         assertThat(versions.oldestAllowed("m", ALLOWED, 20_700)).isEqualTo(2);
         assertThat(versions.newest("m")).isEqualTo(3);
@@ -82,8 +82,8 @@
     @Test
     void whoeverKnowsSinceWhenIsBelieved() {
         versions.addFoundAtStart("m", 3);
-        versions.known("m", 3, 4_000, 20_000);
-        versions.known("m", 3, 3_000, 20_000);
+        versions.applyPeerAge("m", 3, 4_000, 20_000);
+        versions.applyPeerAge("m", 3, 3_000, 20_000);
 
         assertThat(versions.oldestAllowed("m", ALLOWED, 28_999)).isZero();
         assertThat(versions.oldestAllowed("m", ALLOWED, 29_000)).isEqualTo(3);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -301,7 +301,8 @@
             state.fleet().applyLoadReport(load, now);
             load.storeLateness().forEach(late -> state.directory().fetched(late, now));
             load.weights()
-                    .forEach(known -> state.weights().known(known.model(), known.version(), known.ageMillis(), now));
+                    .forEach(known ->
+                            state.weights().applyPeerAge(known.model(), known.version(), known.ageMillis(), now));
             listener.readTo(load.readOffsets());
             listener.unreachable(load.unreachable());
         }
