--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/DesiredVersions.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/DesiredVersions.java
@@ -101,7 +101,7 @@
     }
 
     /** Returns the versions that are remembered and of which it is known since when. */
-    public List<DesiredVersion> all() {
+    public List<DesiredVersion> versionsWithKnownAge() {
         List<DesiredVersion> all = new ArrayList<>();
         sinceByModel.forEach((model, versions) -> versions.forEach((version, since) -> {
             if (since != LONG_AGO) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/NamedVersionsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/NamedVersionsTest.java
@@ -22,7 +22,7 @@
         versions.applyPeerAge("m", 2, 10_000, 50_100);
         versions.applyPeerAge("m", 2, 3_000, 50_200);
 
-        assertThat(versions.all()).containsExactly(new DesiredVersion("m", 2, 40_100));
+        assertThat(versions.versionsWithKnownAge()).containsExactly(new DesiredVersion("m", 2, 40_100));
     }
 
     @Test
@@ -75,7 +75,7 @@
         versions.addFoundAtStart("m", 3);
 
         assertThat(versions.oldestAllowed("m", ALLOWED, 20)).isEqualTo(3);
-        assertThat(versions.all()).isEmpty();
+        assertThat(versions.versionsWithKnownAge()).isEmpty();
     }
 
     /** One relay of several is restarted: the others say since when, and the engines that still load may be used. */
@@ -87,7 +87,7 @@
 
         assertThat(versions.oldestAllowed("m", ALLOWED, 28_999)).isZero();
         assertThat(versions.oldestAllowed("m", ALLOWED, 29_000)).isEqualTo(3);
-        assertThat(versions.all()).containsExactly(new DesiredVersion("m", 3, 16_000));
+        assertThat(versions.versionsWithKnownAge()).containsExactly(new DesiredVersion("m", 3, 16_000));
     }
 
     @Test
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -253,7 +253,7 @@
     }
 
     private List<KnownWeights> weights(long now) {
-        return state.weights().all().stream()
+        return state.weights().versionsWithKnownAge().stream()
                 .map(named -> new KnownWeights(named.model(), named.version(), now - named.sinceMillis()))
                 .toList();
     }
