--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
@@ -45,14 +45,14 @@
     }
 
     /** Notes that all records before an offset were read. */
-    public void readTo(long newEnd) {
+    public void advanceTo(long newEnd) {
         end = Math.max(end, newEnd);
         known = true;
     }
 
     /** Notes a record that was read. */
     public void read(long offset, LeaseRecord record, long nowMillis) {
-        readTo(offset + 1);
+        advanceTo(offset + 1);
         if (!record.holder().equals(self)) {
             lastHolder = record.holder();
             lastReadAt = nowMillis;
@@ -81,7 +81,7 @@
 
     /** Notes that an append of ours landed. */
     public void appended(long offset, long sentAtMillis, long sentAtWallMillis) {
-        readTo(offset + 1);
+        advanceTo(offset + 1);
         token = offset;
         heldUntil = sentAtMillis + HELD_MILLIS;
         heldUntilWall = sentAtWallMillis + HELD_MILLIS;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
@@ -30,7 +30,7 @@
                 for (; read[who] < log.size(); read[who]++) {
                     leases[who].read(read[who], log.get(read[who]), now);
                 }
-                leases[who].readTo(log.size());
+                leases[who].advanceTo(log.size());
             } else if (actions.get(index) / 2 == 1 && leases[who].shouldAppend(now)) {
                 append(log, leases[who], who, now);
             }
@@ -54,7 +54,7 @@
     @Test
     void aHolderThatStoodStillGivesNoOrders() {
         OrderLease lease = new OrderLease("a", TURN);
-        lease.readTo(0);
+        lease.advanceTo(0);
         lease.appended(0, 1_000, 500_000);
 
         assertThat(lease.holds(1_100, 500_100)).isTrue();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -85,7 +85,7 @@
         @Override
         public void record(KeyedRecord record) {
             // A record that can't be read takes up an offset too: the next append lands behind it.
-            lease.readTo(record.offset() + 1);
+            lease.advanceTo(record.offset() + 1);
             LeaseRecord read = store.readLease(record.value().orElseThrow());
             long now = state.now();
             lease.read(record.offset(), read, now);
@@ -103,7 +103,7 @@
             // The first answer holds what was written before this relay was there.
             caughtUp = answeredOnce;
             answeredOnce = true;
-            lease.readTo(follower.readTo());
+            lease.advanceTo(follower.readTo());
         }
     }
 
