--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
@@ -51,7 +51,7 @@
     }
 
     /** Notes a record that was read. */
-    public void read(long offset, LeaseRecord record, long nowMillis) {
+    public void onRecord(long offset, LeaseRecord record, long nowMillis) {
         advanceTo(offset + 1);
         if (!record.holder().equals(self)) {
             lastHolder = record.holder();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
@@ -28,7 +28,7 @@
             int who = actions.get(index) % 2;
             if (actions.get(index) / 2 == 0) {
                 for (; read[who] < log.size(); read[who]++) {
-                    leases[who].read(read[who], log.get(read[who]), now);
+                    leases[who].onRecord(read[who], log.get(read[who]), now);
                 }
                 leases[who].advanceTo(log.size());
             } else if (actions.get(index) / 2 == 1 && leases[who].shouldAppend(now)) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -88,7 +88,7 @@
             lease.advanceTo(record.offset() + 1);
             LeaseRecord read = store.readLease(record.value().orElseThrow());
             long now = state.now();
-            lease.read(record.offset(), read, now);
+            lease.onRecord(record.offset(), read, now);
             // Records from before the start say nothing of now: after a restart all engines would seem to load.
             if (caughtUp && !read.holder().equals(self)) {
                 read.loading()
