--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
@@ -75,7 +75,7 @@
     }
 
     /** Returns the offset at which an append must land to count. */
-    public long appendAt() {
+    public long appendOffset() {
         return end;
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
@@ -42,7 +42,7 @@
     }
 
     private static void append(List<LeaseRecord> log, OrderLease lease, int who, long now) {
-        if (lease.appendAt() != log.size()) {
+        if (lease.appendOffset() != log.size()) {
             lease.conflicted();
             return;
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -186,7 +186,7 @@
         List<String> ids = batch.keySet().stream().map(Target::id).sorted().toList();
         long sentAt = state.now();
         long sentAtWall = System.currentTimeMillis();
-        long at = lease.appendAt();
+        long at = lease.appendOffset();
         appends.call(
                 store.append(Topic.ORDERS, new LeaseRecord(self, ids), OptionalLong.of(at)),
                 APPEND_MILLIS,
