--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
@@ -80,7 +80,7 @@
     }
 
     /** Notes that an append of ours landed. */
-    public void appended(long offset, long sentAtMillis, long sentAtWallMillis) {
+    public void onAppended(long offset, long sentAtMillis, long sentAtWallMillis) {
         advanceTo(offset + 1);
         token = offset;
         heldUntil = sentAtMillis + HELD_MILLIS;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
@@ -47,7 +47,7 @@
             return;
         }
         log.add(new LeaseRecord(who == 0 ? "a" : "b", List.of()));
-        lease.appended(log.size() - 1, now, now);
+        lease.onAppended(log.size() - 1, now, now);
     }
 
     /** A holder stands still for seconds right before an order; the steady clock doesn't count that time. */
@@ -55,7 +55,7 @@
     void aHolderThatStoodStillGivesNoOrders() {
         OrderLease lease = new OrderLease("a", TURN);
         lease.advanceTo(0);
-        lease.appended(0, 1_000, 500_000);
+        lease.onAppended(0, 1_000, 500_000);
 
         assertThat(lease.holds(1_100, 500_100)).isTrue();
         assertThat(lease.holds(1_100, 505_100)).isFalse();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -200,7 +200,7 @@
         state.metrics().storeCall("APPEND");
         StoreAnswer read = answer.ofAppend(store);
         if (read instanceof StoreAnswer.Appended appended) {
-            lease.appended(appended.offset(), sentAt, sentAtWall);
+            lease.onAppended(appended.offset(), sentAt, sentAtWall);
             state.log()
                     .info(
                             "lease_taken",
