--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
@@ -88,7 +88,7 @@
     }
 
     /** Notes that an append of ours didn't land where it had to: others wrote. */
-    public void conflicted() {
+    public void onConflict() {
         known = false;
         heldUntil = Long.MIN_VALUE / 2;
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
@@ -43,7 +43,7 @@
 
     private static void append(List<LeaseRecord> log, OrderLease lease, int who, long now) {
         if (lease.appendOffset() != log.size()) {
-            lease.conflicted();
+            lease.onConflict();
             return;
         }
         log.add(new LeaseRecord(who == 0 ? "a" : "b", List.of()));
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -212,7 +212,7 @@
             return;
         }
         // Others wrote first, or nobody knows whether this was written: the log tells before the next try.
-        lease.conflicted();
+        lease.onConflict();
         follower.readNow();
         state.log()
                 .info(
