--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
@@ -94,7 +94,7 @@
     }
 
     /** Returns whether orders may be given now. */
-    public boolean holds(long nowMillis, long wallMillis) {
+    public boolean isHeld(long nowMillis, long wallMillis) {
         long left = heldUntil - nowMillis;
         return left > 0
                 && heldUntilWall - wallMillis > -STOOD_STILL_MILLIS
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
@@ -34,7 +34,7 @@
             } else if (actions.get(index) / 2 == 1 && leases[who].shouldAppend(now)) {
                 append(log, leases[who], who, now);
             }
-            if (leases[who].holds(now, now)) {
+            if (leases[who].isHeld(now, now)) {
                 lastOrder[who] = now;
                 assertThat(now - lastOrder[1 - who]).isGreaterThanOrEqualTo(TURN);
             }
@@ -57,7 +57,7 @@
         lease.advanceTo(0);
         lease.onAppended(0, 1_000, 500_000);
 
-        assertThat(lease.holds(1_100, 500_100)).isTrue();
-        assertThat(lease.holds(1_100, 505_100)).isFalse();
+        assertThat(lease.isHeld(1_100, 500_100)).isTrue();
+        assertThat(lease.isHeld(1_100, 505_100)).isFalse();
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -165,7 +165,7 @@
                 }
             }
         }
-        boolean mine = lease.holds(now, System.currentTimeMillis());
+        boolean mine = lease.isHeld(now, System.currentTimeMillis());
         boolean free = lease.shouldAppend(now);
         if (!batch.isEmpty() && (mine || free)) {
             append(batch);
@@ -231,7 +231,7 @@
             report.ifPresent(read -> note(target, read));
             boolean stale = report.isPresent() && target.weights(weights.model()) < weights.version();
             long now = state.now();
-            if (!stale || report.get().busy() || !lease.holds(now, System.currentTimeMillis())) {
+            if (!stale || report.get().busy() || !lease.isHeld(now, System.currentTimeMillis())) {
                 line.close();
                 ordering.remove(target.id());
                 return;
