--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
@@ -29,7 +29,7 @@
     private boolean known;
     private String lastHolder = "";
     private long lastReadAt = Long.MIN_VALUE / 2;
-    private long token = -1;
+    private long fencingToken = -1;
     private long heldUntil = Long.MIN_VALUE / 2;
     private long heldUntilWall = Long.MIN_VALUE / 2;
 
@@ -56,7 +56,7 @@
         if (!record.holder().equals(self)) {
             lastHolder = record.holder();
             lastReadAt = nowMillis;
-            if (offset > token) {
+            if (offset > fencingToken) {
                 heldUntil = Long.MIN_VALUE / 2;
             }
         }
@@ -82,7 +82,7 @@
     /** Notes that an append of ours landed. */
     public void onAppended(long offset, long sentAtMillis, long sentAtWallMillis) {
         advanceTo(offset + 1);
-        token = offset;
+        fencingToken = offset;
         heldUntil = sentAtMillis + HELD_MILLIS;
         heldUntilWall = sentAtWallMillis + HELD_MILLIS;
     }
@@ -102,7 +102,7 @@
     }
 
     /** Returns the fencing token of the lease that was last held; -1 if none was. */
-    public long token() {
-        return token;
+    public long fencingToken() {
+        return fencingToken;
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -242,7 +242,7 @@
 
     private void give(Target target, NamedWeights weights, EngineReport report, CallLine line) {
         LoadOrder order =
-                new LoadOrder(weights, state.settings().instance(), lease.token(), report.orders(), target.id());
+                new LoadOrder(weights, state.settings().instance(), lease.fencingToken(), report.orders(), target.id());
         RolloutPlan plan = plans.get(target.registration().service() + "/" + weights.model());
         long now = state.now();
         plan.ordered(target.id(), weights.version(), now);
