--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
@@ -4,7 +4,7 @@
  * The lease of the one process that gives orders to engines, kept as a log of its own.
  *
  * <p>A record is appended only at the end that its writer has read, so of two writers one fails. Its holder may give
- * orders for {@link #HELD_MILLIS} from when it sent the append. Everybody else waits that long, and the time in which
+ * orders for {@link #LEASE_MILLIS} from when it sent the append. Everybody else waits that long, and the time in which
  * two holders may not take turns, from when it read the record. A holder that stood still for a while doesn't notice by
  * the steady clock: the wall clock's run is compared too, and a holder that finds a gap drops its lease.
  *
@@ -12,7 +12,7 @@
  */
 public final class OrderLease {
     /** How long a record allows orders: renewing costs a write, and a dead holder delays a rollout by as much. */
-    public static final long HELD_MILLIS = 1_200;
+    public static final long LEASE_MILLIS = 1_200;
 
     /** When this much is left, the holder renews: an append takes some ms, and hundreds when the log is slow. */
     public static final long RENEW_MILLIS = 600;
@@ -70,7 +70,7 @@
         if (nowMillis < heldUntil) {
             return heldUntil - nowMillis < RENEW_MILLIS;
         }
-        boolean waited = nowMillis - lastReadAt > HELD_MILLIS + turnMillis + MARGIN_MILLIS;
+        boolean waited = nowMillis - lastReadAt > LEASE_MILLIS + turnMillis + MARGIN_MILLIS;
         return lastHolder.isEmpty() || waited;
     }
 
@@ -83,8 +83,8 @@
     public void onAppended(long offset, long sentAtMillis, long sentAtWallMillis) {
         advanceTo(offset + 1);
         fencingToken = offset;
-        heldUntil = sentAtMillis + HELD_MILLIS;
-        heldUntilWall = sentAtWallMillis + HELD_MILLIS;
+        heldUntil = sentAtMillis + LEASE_MILLIS;
+        heldUntilWall = sentAtWallMillis + LEASE_MILLIS;
     }
 
     /** Notes that an append of ours didn't land where it had to: others wrote. */
@@ -98,7 +98,7 @@
         long left = heldUntil - nowMillis;
         return left > 0
                 && heldUntilWall - wallMillis > -STOOD_STILL_MILLIS
-                && heldUntilWall - wallMillis < 2 * HELD_MILLIS;
+                && heldUntilWall - wallMillis < 2 * LEASE_MILLIS;
     }
 
     /** Returns the fencing token of the lease that was last held; -1 if none was. */
