--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
@@ -15,7 +15,7 @@
     public static final long LEASE_MILLIS = 1_200;
 
     /** When this much is left, the holder renews: an append takes some ms, and hundreds when the log is slow. */
-    public static final long RENEW_MILLIS = 600;
+    public static final long RENEW_BEFORE_EXPIRY_MILLIS = 600;
 
     /** What clocks and reads may differ by when a lease is waited out, in ms. */
     private static final long MARGIN_MILLIS = 300;
@@ -68,7 +68,7 @@
             return false;
         }
         if (nowMillis < heldUntil) {
-            return heldUntil - nowMillis < RENEW_MILLIS;
+            return heldUntil - nowMillis < RENEW_BEFORE_EXPIRY_MILLIS;
         }
         boolean waited = nowMillis - lastReadAt > LEASE_MILLIS + turnMillis + MARGIN_MILLIS;
         return lastHolder.isEmpty() || waited;
