--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlan.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlanner.java
@@ -19,7 +19,7 @@
  * order got no answer may load at any time or never: it doesn't keep others waiting. Those with the oldest weights go
  * first, since their time runs out first, and then those with the least work.
  */
-public final class RolloutPlan {
+public final class RolloutPlanner {
     /**
      * When an order that was taken, but whose effect isn't seen, is given again, in ms. Loads take one or two seconds,
      * and some times that when many engines load.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Brings engines to the newest weights: who gives the orders, and which engine gets one next.
  *
- * <p>{@link org.rattanrudder.core.rollout.RolloutPlan} is the front class.
+ * <p>{@link org.rattanrudder.core.rollout.RolloutPlanner} is the front class.
  */
 package org.rattanrudder.core.rollout;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlanTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlanTest.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import org.rattanrudder.core.rollout.RolloutPlan.Engine;
+import org.rattanrudder.core.rollout.RolloutPlanner.Engine;
 
 class RolloutPlanTest {
-    private final RolloutPlan plan = new RolloutPlan();
+    private final RolloutPlanner plan = new RolloutPlanner();
 
     /**
      * Weights are named at noon. Engines that waited for their runs to end stood by for seconds, one after the other,
@@ -42,10 +42,10 @@
 
         assertThat(plan.next(engines, 2, 900)).extracting(Engine::id).containsExactly("c");
         plan.ordered("c", 2, 900);
-        assertThat(plan.next(engines, 2, RolloutPlan.UNANSWERED_MILLIS)).isEmpty();
+        assertThat(plan.next(engines, 2, RolloutPlanner.UNANSWERED_MILLIS)).isEmpty();
 
         List<Engine> loaded = List.of(new Engine("a", 1, 0), new Engine("b", 2, 0), new Engine("c", 2, 0));
-        assertThat(plan.next(loaded, 2, RolloutPlan.UNANSWERED_MILLIS))
+        assertThat(plan.next(loaded, 2, RolloutPlanner.UNANSWERED_MILLIS))
                 .extracting(Engine::id)
                 .containsExactly("a");
     }
@@ -91,8 +91,8 @@
         plan.ordered("a", 2, 0);
         List<Engine> engines = List.of(new Engine("a", 1, 0));
 
-        assertThat(plan.next(engines, 2, RolloutPlan.LOST_MILLIS - 1)).isEmpty();
-        assertThat(plan.next(engines, 2, RolloutPlan.LOST_MILLIS)).hasSize(1);
+        assertThat(plan.next(engines, 2, RolloutPlanner.LOST_MILLIS - 1)).isEmpty();
+        assertThat(plan.next(engines, 2, RolloutPlanner.LOST_MILLIS)).hasSize(1);
     }
 
     @Test
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlayTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlayTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.api.Test;
-import org.rattanrudder.core.rollout.RolloutPlan.Engine;
+import org.rattanrudder.core.rollout.RolloutPlanner.Engine;
 
 /**
  * Weights are named and every engine has to load them. Orders are lost, or carried out seconds later; requests may
@@ -83,7 +83,7 @@
 
     private static Outcome play(int count, long load, double lost, long seed) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        RolloutPlan plan = new RolloutPlan();
+        RolloutPlanner plan = new RolloutPlanner();
         List<Played> engines = new ArrayList<>();
         for (int number = 0; number < count; number++) {
             engines.add(new Played(number));
@@ -109,7 +109,7 @@
     private static void order(
             List<Played> engines,
             Engine next,
-            RolloutPlan plan,
+            RolloutPlanner plan,
             long now,
             long load,
             double lost,
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -12,7 +12,7 @@
 import org.rattanrudder.core.gateway.BackendService;
 import org.rattanrudder.core.rollout.LeaseRecord;
 import org.rattanrudder.core.rollout.OrderLease;
-import org.rattanrudder.core.rollout.RolloutPlan;
+import org.rattanrudder.core.rollout.RolloutPlanner;
 import org.rattanrudder.daemon.relay.TopicFollower.Reading;
 import org.rattanrudder.daemon.relay.port.EngineDialect.EngineReport;
 import org.rattanrudder.daemon.relay.port.EngineDialect.LoadOrder;
@@ -58,7 +58,7 @@
     private final String self;
     private final TopicFollower follower;
     private final CallLine appends;
-    private final Map<String, RolloutPlan> plans = new HashMap<>();
+    private final Map<String, RolloutPlanner> plans = new HashMap<>();
     private final Map<String, Long> looks = new HashMap<>();
     private final Map<String, Integer> reportedInFlight = new HashMap<>();
     private final Set<String> ordering = new HashSet<>();
@@ -154,12 +154,12 @@
         }
         Map<Target, NamedWeights> batch = new HashMap<>();
         for (Work each : work) {
-            RolloutPlan plan = plan(each);
-            List<RolloutPlan.Engine> engines = each.targets().stream()
-                    .map(target -> new RolloutPlan.Engine(
+            RolloutPlanner plan = plan(each);
+            List<RolloutPlanner.Engine> engines = each.targets().stream()
+                    .map(target -> new RolloutPlanner.Engine(
                             target.id(), target.weights(each.weights().model()), inFlight(target)))
                     .toList();
-            for (RolloutPlan.Engine next : plan.next(engines, each.weights().version(), now)) {
+            for (RolloutPlanner.Engine next : plan.next(engines, each.weights().version(), now)) {
                 if (!ordering.contains(next.id())) {
                     state.fleet().find(next.id()).ifPresent(target -> batch.put(target, each.weights()));
                 }
@@ -178,8 +178,8 @@
         return reported != null && looks.containsKey(target.id()) ? reported : target.requests(state.now());
     }
 
-    private RolloutPlan plan(Work work) {
-        return plans.computeIfAbsent(work.service() + "/" + work.weights().model(), unseen -> new RolloutPlan());
+    private RolloutPlanner plan(Work work) {
+        return plans.computeIfAbsent(work.service() + "/" + work.weights().model(), unseen -> new RolloutPlanner());
     }
 
     private void append(Map<Target, NamedWeights> batch) {
@@ -243,7 +243,7 @@
     private void give(Target target, NamedWeights weights, EngineReport report, CallLine line) {
         LoadOrder order =
                 new LoadOrder(weights, state.settings().instance(), lease.fencingToken(), report.orders(), target.id());
-        RolloutPlan plan = plans.get(target.registration().service() + "/" + weights.model());
+        RolloutPlanner plan = plans.get(target.registration().service() + "/" + weights.model());
         long now = state.now();
         plan.ordered(target.id(), weights.version(), now);
         target.markLoadingWeights(now + SWAP_MILLIS);
