--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlanner.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlanner.java
@@ -60,7 +60,7 @@
     }
 
     /** Returns the engines of one service to order now, at most as many as may load beside those that already do. */
-    public List<Engine> next(List<Engine> engines, long newest, long nowMillis) {
+    public List<Engine> nextEngines(List<Engine> engines, long newest, long nowMillis) {
         Set<String> present = new HashSet<>();
         int loading = 0;
         List<Engine> waiting = new ArrayList<>();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlanTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlanTest.java
@@ -19,14 +19,14 @@
         List<Engine> engines =
                 List.of(new Engine("a", 1, 9), new Engine("b", 1, 2), new Engine("c", 1, 5), new Engine("d", 1, 7));
 
-        assertThat(plan.next(engines, 2, 0)).extracting(Engine::id).containsExactly("b", "c");
+        assertThat(plan.nextEngines(engines, 2, 0)).extracting(Engine::id).containsExactly("b", "c");
         plan.ordered("b", 2, 0);
         plan.ordered("c", 2, 0);
-        assertThat(plan.next(engines, 2, 10)).isEmpty();
+        assertThat(plan.nextEngines(engines, 2, 10)).isEmpty();
 
         List<Engine> loaded =
                 List.of(new Engine("a", 1, 9), new Engine("b", 2, 2), new Engine("c", 2, 5), new Engine("d", 1, 7));
-        assertThat(plan.next(loaded, 2, 1_000)).extracting(Engine::id).containsExactly("d", "a");
+        assertThat(plan.nextEngines(loaded, 2, 1_000)).extracting(Engine::id).containsExactly("d", "a");
     }
 
     /**
@@ -40,12 +40,13 @@
         plan.ordered("b", 2, 0);
         plan.unanswered("a");
 
-        assertThat(plan.next(engines, 2, 900)).extracting(Engine::id).containsExactly("c");
+        assertThat(plan.nextEngines(engines, 2, 900)).extracting(Engine::id).containsExactly("c");
         plan.ordered("c", 2, 900);
-        assertThat(plan.next(engines, 2, RolloutPlanner.UNANSWERED_MILLIS)).isEmpty();
+        assertThat(plan.nextEngines(engines, 2, RolloutPlanner.UNANSWERED_MILLIS))
+                .isEmpty();
 
         List<Engine> loaded = List.of(new Engine("a", 1, 0), new Engine("b", 2, 0), new Engine("c", 2, 0));
-        assertThat(plan.next(loaded, 2, RolloutPlanner.UNANSWERED_MILLIS))
+        assertThat(plan.nextEngines(loaded, 2, RolloutPlanner.UNANSWERED_MILLIS))
                 .extracting(Engine::id)
                 .containsExactly("a");
     }
@@ -56,7 +57,7 @@
         plan.ordered("a", 2, 0);
         plan.ordered("b", 2, 0);
 
-        assertThat(plan.next(engines, 2, 10)).isEmpty();
+        assertThat(plan.nextEngines(engines, 2, 10)).isEmpty();
     }
 
     @Test
@@ -65,7 +66,7 @@
                 .mapToObj(number -> new Engine("i-" + number, 1, 3))
                 .toList();
 
-        assertThat(plan.next(engines, 2, 0)).hasSize(11);
+        assertThat(plan.nextEngines(engines, 2, 0)).hasSize(11);
     }
 
     /** Two versions are named in a row, and engines with the first of them swap again while others serve the oldest. */
@@ -73,7 +74,7 @@
     void theOldestWeightsGoFirst() {
         List<Engine> engines = List.of(new Engine("a", 2, 0), new Engine("b", 1, 9), new Engine("c", 1, 8));
 
-        assertThat(plan.next(engines, 3, 0)).extracting(Engine::id).containsExactly("c", "b");
+        assertThat(plan.nextEngines(engines, 3, 0)).extracting(Engine::id).containsExactly("c", "b");
     }
 
     @Test
@@ -82,7 +83,7 @@
         plan.ordered("b", 2, 0);
         List<Engine> engines = List.of(new Engine("a", 2, 0), new Engine("b", 1, 0), new Engine("c", 1, 0));
 
-        assertThat(plan.next(engines, 2, 3_000)).extracting(Engine::id).containsExactly("c");
+        assertThat(plan.nextEngines(engines, 2, 3_000)).extracting(Engine::id).containsExactly("c");
     }
 
     /** The answer to an order is lost and so is the order: the engine would stay on old weights for good. */
@@ -91,8 +92,8 @@
         plan.ordered("a", 2, 0);
         List<Engine> engines = List.of(new Engine("a", 1, 0));
 
-        assertThat(plan.next(engines, 2, RolloutPlanner.LOST_MILLIS - 1)).isEmpty();
-        assertThat(plan.next(engines, 2, RolloutPlanner.LOST_MILLIS)).hasSize(1);
+        assertThat(plan.nextEngines(engines, 2, RolloutPlanner.LOST_MILLIS - 1)).isEmpty();
+        assertThat(plan.nextEngines(engines, 2, RolloutPlanner.LOST_MILLIS)).hasSize(1);
     }
 
     @Test
@@ -100,6 +101,8 @@
         plan.ordered("a", 2, 0);
         List<Engine> engines = List.of(new Engine("a", 2, 0), new Engine("b", 1, 0));
 
-        assertThat(plan.next(engines, 3, 2_000)).extracting(Engine::weights).containsExactly(1L, 2L);
+        assertThat(plan.nextEngines(engines, 3, 2_000))
+                .extracting(Engine::weights)
+                .containsExactly(1L, 2L);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlayTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlayTest.java
@@ -97,7 +97,7 @@
             if (seen.stream().allMatch(engine -> engine.weights() == 2)) {
                 return new Outcome(now, most);
             }
-            for (Engine next : plan.next(seen, 2, now)) {
+            for (Engine next : plan.nextEngines(seen, 2, now)) {
                 order(engines, next, plan, now, load, lost, random);
             }
             most = Math.max(most, (int)
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -159,7 +159,8 @@
                     .map(target -> new RolloutPlanner.Engine(
                             target.id(), target.weights(each.weights().model()), inFlight(target)))
                     .toList();
-            for (RolloutPlanner.Engine next : plan.next(engines, each.weights().version(), now)) {
+            for (RolloutPlanner.Engine next :
+                    plan.nextEngines(engines, each.weights().version(), now)) {
                 if (!ordering.contains(next.id())) {
                     state.fleet().find(next.id()).ifPresent(target -> batch.put(target, each.weights()));
                 }
