--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlanner.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlanner.java
@@ -82,7 +82,7 @@
     }
 
     /** Notes that an engine is being ordered. */
-    public void ordered(String id, long version, long nowMillis) {
+    public void onOrdered(String id, long version, long nowMillis) {
         orders.put(id, new Order(version, nowMillis, false));
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlanTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlanTest.java
@@ -20,8 +20,8 @@
                 List.of(new Engine("a", 1, 9), new Engine("b", 1, 2), new Engine("c", 1, 5), new Engine("d", 1, 7));
 
         assertThat(plan.nextEngines(engines, 2, 0)).extracting(Engine::id).containsExactly("b", "c");
-        plan.ordered("b", 2, 0);
-        plan.ordered("c", 2, 0);
+        plan.onOrdered("b", 2, 0);
+        plan.onOrdered("c", 2, 0);
         assertThat(plan.nextEngines(engines, 2, 10)).isEmpty();
 
         List<Engine> loaded =
@@ -36,12 +36,12 @@
     @Test
     void anOrderWithoutAnAnswerKeepsNobodyWaiting() {
         List<Engine> engines = List.of(new Engine("a", 1, 0), new Engine("b", 1, 0), new Engine("c", 1, 0));
-        plan.ordered("a", 2, 0);
-        plan.ordered("b", 2, 0);
+        plan.onOrdered("a", 2, 0);
+        plan.onOrdered("b", 2, 0);
         plan.unanswered("a");
 
         assertThat(plan.nextEngines(engines, 2, 900)).extracting(Engine::id).containsExactly("c");
-        plan.ordered("c", 2, 900);
+        plan.onOrdered("c", 2, 900);
         assertThat(plan.nextEngines(engines, 2, RolloutPlanner.UNANSWERED_MILLIS))
                 .isEmpty();
 
@@ -54,8 +54,8 @@
     @Test
     void noMoreLoadAtOnceThanAllowed() {
         List<Engine> engines = List.of(new Engine("a", 1, 0), new Engine("b", 1, 0), new Engine("c", 1, 5));
-        plan.ordered("a", 2, 0);
-        plan.ordered("b", 2, 0);
+        plan.onOrdered("a", 2, 0);
+        plan.onOrdered("b", 2, 0);
 
         assertThat(plan.nextEngines(engines, 2, 10)).isEmpty();
     }
@@ -79,8 +79,8 @@
 
     @Test
     void anEngineThatServesTheVersionMakesRoomForTheNext() {
-        plan.ordered("a", 2, 0);
-        plan.ordered("b", 2, 0);
+        plan.onOrdered("a", 2, 0);
+        plan.onOrdered("b", 2, 0);
         List<Engine> engines = List.of(new Engine("a", 2, 0), new Engine("b", 1, 0), new Engine("c", 1, 0));
 
         assertThat(plan.nextEngines(engines, 2, 3_000)).extracting(Engine::id).containsExactly("c");
@@ -89,7 +89,7 @@
     /** The answer to an order is lost and so is the order: the engine would stay on old weights for good. */
     @Test
     void anOrderWithoutEffectIsGivenAgain() {
-        plan.ordered("a", 2, 0);
+        plan.onOrdered("a", 2, 0);
         List<Engine> engines = List.of(new Engine("a", 1, 0));
 
         assertThat(plan.nextEngines(engines, 2, RolloutPlanner.LOST_MILLIS - 1)).isEmpty();
@@ -98,7 +98,7 @@
 
     @Test
     void aVersionThatWasOvertakenIsSkipped() {
-        plan.ordered("a", 2, 0);
+        plan.onOrdered("a", 2, 0);
         List<Engine> engines = List.of(new Engine("a", 2, 0), new Engine("b", 1, 0));
 
         assertThat(plan.nextEngines(engines, 3, 2_000))
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlayTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlayTest.java
@@ -118,7 +118,7 @@
                 .filter(played -> played.id.equals(next.id()))
                 .findFirst()
                 .orElseThrow();
-        plan.ordered(next.id(), 2, now);
+        plan.onOrdered(next.id(), 2, now);
         if (random.nextDouble() >= lost) {
             engine.order(now, load);
             return;
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -246,7 +246,7 @@
                 new LoadOrder(weights, state.settings().instance(), lease.fencingToken(), report.orders(), target.id());
         RolloutPlanner plan = plans.get(target.registration().service() + "/" + weights.model());
         long now = state.now();
-        plan.ordered(target.id(), weights.version(), now);
+        plan.onOrdered(target.id(), weights.version(), now);
         target.markLoadingWeights(now + SWAP_MILLIS);
         looks.put(target.id(), now + FIRST_LOOK_MILLIS);
         line.call(state.platform().engines().order(order), CALL_MILLIS, answer -> {
