--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlanner.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlanner.java
@@ -87,7 +87,7 @@
     }
 
     /** Notes that an order got no answer. */
-    public void unanswered(String id) {
+    public void onUnanswered(String id) {
         orders.computeIfPresent(id, (same, order) -> new Order(order.version(), order.givenAtMillis(), true));
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlanTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlanTest.java
@@ -38,7 +38,7 @@
         List<Engine> engines = List.of(new Engine("a", 1, 0), new Engine("b", 1, 0), new Engine("c", 1, 0));
         plan.onOrdered("a", 2, 0);
         plan.onOrdered("b", 2, 0);
-        plan.unanswered("a");
+        plan.onUnanswered("a");
 
         assertThat(plan.nextEngines(engines, 2, 900)).extracting(Engine::id).containsExactly("c");
         plan.onOrdered("c", 2, 900);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlayTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlayTest.java
@@ -123,7 +123,7 @@
             engine.order(now, load);
             return;
         }
-        plan.unanswered(next.id());
+        plan.onUnanswered(next.id());
         if (random.nextBoolean()) {
             engine.order(now + random.nextInt(LATEST_MILLIS), load);
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -266,7 +266,7 @@
                             Integer.toString(status));
             if (status == 0) {
                 // It may load at any time or never; until then it serves.
-                plan.unanswered(target.id());
+                plan.onUnanswered(target.id());
                 target.markLoadingWeights(state.now());
             } else if (!state.platform().engines().orderTaken(status)) {
                 plan.refused(target.id());
