--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlanner.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlanner.java
@@ -92,7 +92,7 @@
     }
 
     /** Notes that an engine refused its order or didn't carry it out, so that it can be ordered again. */
-    public void refused(String id) {
+    public void onRefused(String id) {
         orders.remove(id);
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -269,7 +269,7 @@
                 plan.onUnanswered(target.id());
                 target.markLoadingWeights(state.now());
             } else if (!state.platform().engines().orderTaken(status)) {
-                plan.refused(target.id());
+                plan.onRefused(target.id());
                 target.markLoadingWeights(state.now());
             }
             line.close();
@@ -307,7 +307,7 @@
                 report.ifPresent(read -> note(target, read));
                 if (report.isPresent() && !report.get().busy()) {
                     // Done, or never begun: the engine is free for the next order in either case.
-                    plan(work).refused(target.id());
+                    plan(work).onRefused(target.id());
                     target.markLoadingWeights(state.now());
                 }
                 state.log()
