--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlanner.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlanner.java
@@ -24,7 +24,7 @@
      * When an order that was taken, but whose effect isn't seen, is given again, in ms. Loads take one or two seconds,
      * and some times that when many engines load.
      */
-    public static final long LOST_MILLIS = 6_000;
+    public static final long ORDER_TIMEOUT_MILLIS = 6_000;
 
     /**
      * When an order that got no answer is given again, in ms. It may be carried out seconds later; the precondition on
@@ -55,7 +55,7 @@
     private record Order(long version, long givenAtMillis, boolean unanswered) {
         boolean mayLoad(Engine engine, long nowMillis) {
             long waited = nowMillis - givenAtMillis;
-            return engine.weights() < version && waited < (unanswered ? UNANSWERED_MILLIS : LOST_MILLIS);
+            return engine.weights() < version && waited < (unanswered ? UNANSWERED_MILLIS : ORDER_TIMEOUT_MILLIS);
         }
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlanTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlanTest.java
@@ -92,8 +92,10 @@
         plan.onOrdered("a", 2, 0);
         List<Engine> engines = List.of(new Engine("a", 1, 0));
 
-        assertThat(plan.nextEngines(engines, 2, RolloutPlanner.LOST_MILLIS - 1)).isEmpty();
-        assertThat(plan.nextEngines(engines, 2, RolloutPlanner.LOST_MILLIS)).hasSize(1);
+        assertThat(plan.nextEngines(engines, 2, RolloutPlanner.ORDER_TIMEOUT_MILLIS - 1))
+                .isEmpty();
+        assertThat(plan.nextEngines(engines, 2, RolloutPlanner.ORDER_TIMEOUT_MILLIS))
+                .hasSize(1);
     }
 
     @Test
