--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/PromptQuarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/PromptQuarantine.java
@@ -45,7 +45,7 @@
             // Which start of the engine it was isn't known: each attempt counts as one.
             crashes++;
             TargetCrash crash = new TargetCrash(inFlight.route.target().name().value(), crashes, Set.of(prompt));
-            quarantine.crashed(crash, true, millis(nowMicros));
+            quarantine.onCrash(crash, true, millis(nowMicros));
         }
         return quarantine.leftMillis(prompt, millis(nowMicros)).isPresent();
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -81,7 +81,7 @@
      *
      * @param seenHere whether this relay saw it itself: those that did write and remove the record
      */
-    public void crashed(TargetCrash crash, boolean seenHere, long nowMillis) {
+    public void onCrash(TargetCrash crash, boolean seenHere, long nowMillis) {
         for (RequestFingerprint request : suspectable(crash.requests(), nowMillis)) {
             Suspect suspect = suspect(request, crash, nowMillis);
             suspect.seenHere |= seenHere;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -25,7 +25,7 @@
 
     private void crashes(int count, RequestFingerprint request) {
         for (int target = 0; target < count; target++) {
-            quarantine.crashed(crash(target, request), true, NOW);
+            quarantine.onCrash(crash(target, request), true, NOW);
         }
     }
 
@@ -39,7 +39,7 @@
         assertThat(isHeld(CAUSE)).isFalse();
         assertThat(quarantine.isLastChance(CAUSE)).isTrue();
 
-        quarantine.crashed(crash(2, CAUSE, OTHER), true, NOW);
+        quarantine.onCrash(crash(2, CAUSE, OTHER), true, NOW);
 
         assertThat(quarantine.leftMillis(CAUSE, NOW + 10)).hasValue(Quarantine.KEPT_MILLIS - 10);
         assertThat(isHeld(OTHER)).isFalse();
@@ -48,9 +48,9 @@
 
     @Test
     void oneEndThatSeveralRelaysReportCountsOnce() {
-        quarantine.crashed(crash(0, CAUSE), true, NOW);
-        quarantine.crashed(crash(0, CAUSE), false, NOW);
-        quarantine.crashed(crash(0, CAUSE), false, NOW);
+        quarantine.onCrash(crash(0, CAUSE), true, NOW);
+        quarantine.onCrash(crash(0, CAUSE), false, NOW);
+        quarantine.onCrash(crash(0, CAUSE), false, NOW);
 
         assertThat(isHeld(CAUSE)).isFalse();
     }
@@ -58,7 +58,7 @@
     @Test
     void anotherStartOfATargetIsAnotherEnd() {
         for (int start = 1; start <= Quarantine.CRASHES; start++) {
-            quarantine.crashed(new TargetCrash("i-1", start, Set.of(CAUSE)), true, NOW);
+            quarantine.onCrash(new TargetCrash("i-1", start, Set.of(CAUSE)), true, NOW);
         }
 
         assertThat(isHeld(CAUSE)).isTrue();
@@ -122,7 +122,7 @@
         quarantine.removed(CAUSE, NOW + Quarantine.KEPT_MILLIS);
         assertThat(quarantine.outdatedRecords()).isEmpty();
 
-        quarantine.crashed(crash(9, CAUSE), true, NOW + Quarantine.KEPT_MILLIS);
+        quarantine.onCrash(crash(9, CAUSE), true, NOW + Quarantine.KEPT_MILLIS);
 
         assertThat(isHeld(CAUSE)).isTrue();
     }
@@ -130,7 +130,7 @@
     @Test
     void whoHasSeenNoEndLeavesTheRecordToOthers() {
         for (int target = 0; target < Quarantine.CRASHES; target++) {
-            quarantine.crashed(crash(target, CAUSE), false, NOW);
+            quarantine.onCrash(crash(target, CAUSE), false, NOW);
         }
         assertThat(isHeld(CAUSE)).isTrue();
         assertThat(quarantine.unrecorded()).isEmpty();
@@ -168,7 +168,7 @@
         assertThat(isHeld(CAUSE)).isFalse();
         assertThat(quarantine.isLastChance(CAUSE)).isTrue();
 
-        quarantine.crashed(crash(9, CAUSE), true, NOW);
+        quarantine.onCrash(crash(9, CAUSE), true, NOW);
 
         assertThat(isHeld(CAUSE)).isTrue();
         assertThat(isHeld(OTHER)).isFalse();
@@ -185,7 +185,7 @@
     @Test
     void suspectsAreBounded() {
         for (int request = 0; request <= Quarantine.MOST_SUSPECTS; request++) {
-            quarantine.crashed(crash(0, new RequestFingerprint(request, request)), true, NOW);
+            quarantine.onCrash(crash(0, new RequestFingerprint(request, request)), true, NOW);
         }
 
         assertThat(quarantine.suspected()).isEqualTo(Quarantine.MOST_SUSPECTS);
@@ -207,7 +207,7 @@
         Collections.shuffle(reports, new Random(seed));
 
         Quarantine shuffled = new Quarantine();
-        reports.forEach(report -> shuffled.crashed(report, false, NOW));
+        reports.forEach(report -> shuffled.onCrash(report, false, NOW));
 
         assertThat(shuffled.leftMillis(CAUSE, NOW).isPresent()).isEqualTo(ends >= Quarantine.CRASHES);
         assertThat(shuffled.quarantined()).isLessThanOrEqualTo(1);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
@@ -150,7 +150,7 @@
     private void note(TargetCrash crash, boolean seenHere, String by) {
         Set<RequestFingerprint> known =
                 crash.requests().stream().filter(this::isQuarantined).collect(Collectors.toSet());
-        quarantine.crashed(crash, seenHere, state.now());
+        quarantine.onCrash(crash, seenHere, state.now());
         crash.requests().forEach(request -> logIfNew(request, known.contains(request), by));
     }
 
