--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -97,7 +97,7 @@
      * Notes the end of a target from before this relay was there. It quarantines nothing by itself: which requests were
      * answered since isn't known.
      */
-    public void crashedBefore(TargetCrash crash, long nowMillis) {
+    public void onPastCrash(TargetCrash crash, long nowMillis) {
         suspectable(crash.requests(), nowMillis).forEach(request -> suspect(request, crash, nowMillis));
         bound(suspects.keySet(), MOST_SUSPECTS);
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -163,7 +163,7 @@
     @Test
     void endsFromBeforeThisRelayQuarantineOnlyWithAFurtherOne() {
         for (int target = 0; target <= Quarantine.CRASHES; target++) {
-            quarantine.crashedBefore(crash(target, CAUSE, OTHER), NOW);
+            quarantine.onPastCrash(crash(target, CAUSE, OTHER), NOW);
         }
         assertThat(isHeld(CAUSE)).isFalse();
         assertThat(quarantine.isLastChance(CAUSE)).isTrue();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
@@ -94,7 +94,7 @@
 
         private void crashed(QuarantineRecord.Crashed crashed, long offset) {
             if (offset < endAtStart) {
-                quarantine.crashedBefore(crashed.crash(), state.now());
+                quarantine.onPastCrash(crashed.crash(), state.now());
             } else if (!crashed.relay().equals(state.settings().instance())) {
                 note(crashed.crash(), false, crashed.relay());
             }
