--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -142,7 +142,7 @@
      *
      * @param foundAtStart whether it was there before this relay: nobody may be left who removes it
      */
-    public void recorded(RequestFingerprint request, boolean foundAtStart, long nowMillis) {
+    public void onRecord(RequestFingerprint request, boolean foundAtStart, long nowMillis) {
         if (outdatedRecords.contains(request)) {
             return;
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -84,7 +84,7 @@
     @Test
     void aRecordOfWhatWasAnsweredHereLatelyIsRemoved() {
         quarantine.answered(CAUSE, NOW);
-        quarantine.recorded(CAUSE, false, NOW);
+        quarantine.onRecord(CAUSE, false, NOW);
 
         assertThat(isHeld(CAUSE)).isFalse();
         assertThat(quarantine.outdatedRecords()).containsExactly(CAUSE);
@@ -104,7 +104,7 @@
     @Test
     void anAnswerOfOneThatWasSentBeforeEndsTheQuarantine() {
         crashes(3, CAUSE);
-        quarantine.recorded(CAUSE, false, NOW);
+        quarantine.onRecord(CAUSE, false, NOW);
 
         quarantine.answered(CAUSE, NOW);
 
@@ -115,7 +115,7 @@
     @Test
     void oneEndQuarantinesAnewAfterItsTime() {
         crashes(3, CAUSE);
-        quarantine.recorded(CAUSE, false, NOW);
+        quarantine.onRecord(CAUSE, false, NOW);
         quarantine.expire(NOW + Quarantine.KEPT_MILLIS);
         assertThat(isHeld(CAUSE)).isFalse();
         assertThat(quarantine.outdatedRecords()).containsExactly(CAUSE);
@@ -135,7 +135,7 @@
         assertThat(isHeld(CAUSE)).isTrue();
         assertThat(quarantine.unrecorded()).isEmpty();
 
-        quarantine.recorded(CAUSE, false, NOW);
+        quarantine.onRecord(CAUSE, false, NOW);
         quarantine.expire(NOW + Quarantine.KEPT_MILLIS);
 
         assertThat(quarantine.outdatedRecords()).isEmpty();
@@ -143,7 +143,7 @@
 
     @Test
     void aRecordThatWasThereBeforeIsRemovedInTheEnd() {
-        quarantine.recorded(CAUSE, true, NOW);
+        quarantine.onRecord(CAUSE, true, NOW);
         quarantine.expire(NOW + Quarantine.KEPT_MILLIS);
 
         assertThat(quarantine.outdatedRecords()).containsExactly(CAUSE);
@@ -152,7 +152,7 @@
     @Test
     void aRecordThatIsLostIsWrittenAgain() {
         crashes(3, CAUSE);
-        quarantine.recorded(CAUSE, false, NOW);
+        quarantine.onRecord(CAUSE, false, NOW);
         assertThat(quarantine.unrecorded()).isEmpty();
 
         quarantine.listed(Set.of());
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
@@ -102,7 +102,7 @@
 
         private void quarantined(RequestFingerprint request) {
             boolean known = isQuarantined(request);
-            quarantine.recorded(request, !listedOnce, state.now());
+            quarantine.onRecord(request, !listedOnce, state.now());
             logIfNew(request, known, "store");
         }
 
