--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -156,7 +156,7 @@
     }
 
     /** Notes that this relay has recorded a request; one that was answered meanwhile must not stay recorded. */
-    public void written(RequestFingerprint request) {
+    public void onRecordWritten(RequestFingerprint request) {
         Held known = held.get(request);
         if (known == null) {
             outdatedRecords.add(request);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
@@ -193,7 +193,7 @@
             }
             writtenTo = offset + records.size();
             unwritten.removeAll(crashes);
-            unrecorded.forEach(quarantine::written);
+            unrecorded.forEach(quarantine::onRecordWritten);
             outdated.forEach(request -> quarantine.removed(request, state.now()));
             write();
         });
