--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -166,7 +166,7 @@
     }
 
     /** Notes that the record of a request was removed: it may be sent again, and the next end quarantines it anew. */
-    public void removed(RequestFingerprint request, long nowMillis) {
+    public void onRecordRemoved(RequestFingerprint request, long nowMillis) {
         outdatedRecords.remove(request);
         if (held.remove(request) != null) {
             moved(request, nowMillis).crashesBefore = CRASHES - 1;
@@ -199,7 +199,7 @@
         for (RequestFingerprint request : List.copyOf(held.keySet())) {
             Held known = held.get(request);
             if (nowMillis - known.since >= KEPT_MILLIS) {
-                removed(request, nowMillis);
+                onRecordRemoved(request, nowMillis);
                 if (known.recorded && known.keepsRecord) {
                     outdatedRecords.add(request);
                 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -119,7 +119,7 @@
         quarantine.expire(NOW + Quarantine.KEPT_MILLIS);
         assertThat(isHeld(CAUSE)).isFalse();
         assertThat(quarantine.outdatedRecords()).containsExactly(CAUSE);
-        quarantine.removed(CAUSE, NOW + Quarantine.KEPT_MILLIS);
+        quarantine.onRecordRemoved(CAUSE, NOW + Quarantine.KEPT_MILLIS);
         assertThat(quarantine.outdatedRecords()).isEmpty();
 
         quarantine.onCrash(crash(9, CAUSE), true, NOW + Quarantine.KEPT_MILLIS);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
@@ -83,7 +83,7 @@
                 quarantined(quarantined.request());
             } else if (read instanceof QuarantineRecord.Released released) {
                 recorded.remove(record.key());
-                quarantine.removed(released.request(), state.now());
+                quarantine.onRecordRemoved(released.request(), state.now());
                 state.log()
                         .info(
                                 "request_released",
@@ -194,7 +194,7 @@
             writtenTo = offset + records.size();
             unwritten.removeAll(crashes);
             unrecorded.forEach(quarantine::onRecordWritten);
-            outdated.forEach(request -> quarantine.removed(request, state.now()));
+            outdated.forEach(request -> quarantine.onRecordRemoved(request, state.now()));
             write();
         });
     }
