--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -174,7 +174,7 @@
     }
 
     /** Notes the requests of which there are records: what others have lost is written again. */
-    public void listed(Set<RequestFingerprint> recorded) {
+    public void onRecordsListed(Set<RequestFingerprint> recorded) {
         held.forEach((request, known) -> known.recorded = recorded.contains(request));
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -155,7 +155,7 @@
         quarantine.onRecord(CAUSE, false, NOW);
         assertThat(quarantine.unrecorded()).isEmpty();
 
-        quarantine.listed(Set.of());
+        quarantine.onRecordsListed(Set.of());
 
         assertThat(quarantine.unrecorded()).containsExactly(CAUSE);
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
@@ -113,7 +113,7 @@
             }
             listedOnce = true;
             recorded.keySet().retainAll(keys);
-            quarantine.listed(Set.copyOf(recorded.values()));
+            quarantine.onRecordsListed(Set.copyOf(recorded.values()));
         }
     }
 
