--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/PromptQuarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/PromptQuarantine.java
@@ -53,7 +53,7 @@
     /** Notes a whole answer. */
     void answered(InFlight inFlight, long nowMicros) {
         if (isPrompt(inFlight.terms)) {
-            quarantine.answered(fingerprint(inFlight.terms, inFlight.request), millis(nowMicros));
+            quarantine.onAnswered(fingerprint(inFlight.terms, inFlight.request), millis(nowMicros));
         }
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -179,7 +179,7 @@
     }
 
     /** Notes that a target has answered a request, which so is no cause of any end. */
-    public void answered(RequestFingerprint request, long nowMillis) {
+    public void onAnswered(RequestFingerprint request, long nowMillis) {
         answeredAt.remove(request);
         answeredAt.put(request, nowMillis);
         bound(answeredAt.keySet(), MOST_CLEARED);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -67,7 +67,7 @@
     @Test
     void whatIsAnsweredIsNoCause() {
         crashes(2, CAUSE);
-        quarantine.answered(CAUSE, NOW);
+        quarantine.onAnswered(CAUSE, NOW);
         crashes(5, CAUSE);
 
         assertThat(isHeld(CAUSE)).isFalse();
@@ -75,7 +75,7 @@
 
     @Test
     void whatWasAnsweredLongAgoIsSuspectedAgain() {
-        quarantine.answered(CAUSE, NOW - Quarantine.CLEARED_MILLIS);
+        quarantine.onAnswered(CAUSE, NOW - Quarantine.CLEARED_MILLIS);
         crashes(3, CAUSE);
 
         assertThat(isHeld(CAUSE)).isTrue();
@@ -83,7 +83,7 @@
 
     @Test
     void aRecordOfWhatWasAnsweredHereLatelyIsRemoved() {
-        quarantine.answered(CAUSE, NOW);
+        quarantine.onAnswered(CAUSE, NOW);
         quarantine.onRecord(CAUSE, false, NOW);
 
         assertThat(isHeld(CAUSE)).isFalse();
@@ -92,9 +92,9 @@
 
     @Test
     void answersAreRememberedWithinABound() {
-        quarantine.answered(CAUSE, NOW);
+        quarantine.onAnswered(CAUSE, NOW);
         for (int request = 10; request < 10 + Quarantine.MOST_CLEARED; request++) {
-            quarantine.answered(new RequestFingerprint(request, request), NOW);
+            quarantine.onAnswered(new RequestFingerprint(request, request), NOW);
         }
         crashes(3, CAUSE);
 
@@ -106,7 +106,7 @@
         crashes(3, CAUSE);
         quarantine.onRecord(CAUSE, false, NOW);
 
-        quarantine.answered(CAUSE, NOW);
+        quarantine.onAnswered(CAUSE, NOW);
 
         assertThat(isHeld(CAUSE)).isFalse();
         assertThat(quarantine.outdatedRecords()).containsExactly(CAUSE);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineCheck.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineCheck.java
@@ -57,6 +57,6 @@
 
     /** Notes that a target has answered. */
     void answered() {
-        state.quarantine().answered(fingerprint(), state.now());
+        state.quarantine().onAnswered(fingerprint(), state.now());
     }
 }
