--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/PromptQuarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/PromptQuarantine.java
@@ -27,7 +27,7 @@
         if (!isPrompt(terms) || quarantine.isEmpty()) {
             return Optional.empty();
         }
-        OptionalLong left = quarantine.leftMillis(fingerprint(terms, request), millis(nowMicros));
+        OptionalLong left = quarantine.remainingMillis(fingerprint(terms, request), millis(nowMicros));
         return left.isEmpty()
                 ? Optional.empty()
                 : Optional.of(new Refusal(
@@ -47,7 +47,7 @@
             TargetCrash crash = new TargetCrash(inFlight.route.target().name().value(), crashes, Set.of(prompt));
             quarantine.onCrash(crash, true, millis(nowMicros));
         }
-        return quarantine.leftMillis(prompt, millis(nowMicros)).isPresent();
+        return quarantine.remainingMillis(prompt, millis(nowMicros)).isPresent();
     }
 
     /** Notes a whole answer. */
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -208,7 +208,7 @@
     }
 
     /** Returns for how much longer a request is quarantined, in ms; empty if it isn't. */
-    public OptionalLong leftMillis(RequestFingerprint request, long nowMillis) {
+    public OptionalLong remainingMillis(RequestFingerprint request, long nowMillis) {
         Held known = held.get(request);
         return known == null
                 ? OptionalLong.empty()
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -30,7 +30,7 @@
     }
 
     private boolean isHeld(RequestFingerprint request) {
-        return quarantine.leftMillis(request, NOW).isPresent();
+        return quarantine.remainingMillis(request, NOW).isPresent();
     }
 
     @Test
@@ -41,7 +41,7 @@
 
         quarantine.onCrash(crash(2, CAUSE, OTHER), true, NOW);
 
-        assertThat(quarantine.leftMillis(CAUSE, NOW + 10)).hasValue(Quarantine.KEPT_MILLIS - 10);
+        assertThat(quarantine.remainingMillis(CAUSE, NOW + 10)).hasValue(Quarantine.KEPT_MILLIS - 10);
         assertThat(isHeld(OTHER)).isFalse();
         assertThat(quarantine.unrecorded()).containsExactly(CAUSE);
     }
@@ -209,7 +209,7 @@
         Quarantine shuffled = new Quarantine();
         reports.forEach(report -> shuffled.onCrash(report, false, NOW));
 
-        assertThat(shuffled.leftMillis(CAUSE, NOW).isPresent()).isEqualTo(ends >= Quarantine.CRASHES);
+        assertThat(shuffled.remainingMillis(CAUSE, NOW).isPresent()).isEqualTo(ends >= Quarantine.CRASHES);
         assertThat(shuffled.quarantined()).isLessThanOrEqualTo(1);
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineCheck.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineCheck.java
@@ -38,7 +38,7 @@
     /** Returns for how much longer the request is sent to no target, in ms; empty if it may be sent. */
     OptionalLong leftMillis() {
         Quarantine quarantine = state.quarantine();
-        return quarantine.isEmpty() ? OptionalLong.empty() : quarantine.leftMillis(fingerprint(), state.now());
+        return quarantine.isEmpty() ? OptionalLong.empty() : quarantine.remainingMillis(fingerprint(), state.now());
     }
 
     /**
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
@@ -155,7 +155,7 @@
     }
 
     private boolean isQuarantined(RequestFingerprint request) {
-        return quarantine.leftMillis(request, state.now()).isPresent();
+        return quarantine.remainingMillis(request, state.now()).isPresent();
     }
 
     private void logIfNew(RequestFingerprint request, boolean known, String by) {
