--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -216,7 +216,7 @@
     }
 
     /** Returns whether the next end of a target under a request would quarantine it. */
-    public boolean isLastChance(RequestFingerprint request) {
+    public boolean isOneCrashFromQuarantine(RequestFingerprint request) {
         Suspect suspect = suspects.get(request);
         return suspect != null && suspect.crashes() >= CRASHES - 1;
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -37,7 +37,7 @@
     void theThirdEndQuarantines() {
         crashes(2, CAUSE);
         assertThat(isHeld(CAUSE)).isFalse();
-        assertThat(quarantine.isLastChance(CAUSE)).isTrue();
+        assertThat(quarantine.isOneCrashFromQuarantine(CAUSE)).isTrue();
 
         quarantine.onCrash(crash(2, CAUSE, OTHER), true, NOW);
 
@@ -166,7 +166,7 @@
             quarantine.onPastCrash(crash(target, CAUSE, OTHER), NOW);
         }
         assertThat(isHeld(CAUSE)).isFalse();
-        assertThat(quarantine.isLastChance(CAUSE)).isTrue();
+        assertThat(quarantine.isOneCrashFromQuarantine(CAUSE)).isTrue();
 
         quarantine.onCrash(crash(9, CAUSE), true, NOW);
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineCheck.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineCheck.java
@@ -47,7 +47,9 @@
      */
     boolean mayHaveBeenLast(AttemptOutcome outcome) {
         Quarantine quarantine = state.quarantine();
-        return outcome == AttemptOutcome.BROKEN && !quarantine.isEmpty() && quarantine.isLastChance(fingerprint());
+        return outcome == AttemptOutcome.BROKEN
+                && !quarantine.isEmpty()
+                && quarantine.isOneCrashFromQuarantine(fingerprint());
     }
 
     /** Notes that the connection to a target broke in the middle of an attempt. */
