--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -227,7 +227,7 @@
     }
 
     /** Returns how many requests are suspected. */
-    public int suspected() {
+    public int suspectCount() {
         return suspects.size();
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -188,7 +188,7 @@
             quarantine.onCrash(crash(0, new RequestFingerprint(request, request)), true, NOW);
         }
 
-        assertThat(quarantine.suspected()).isEqualTo(Quarantine.MOST_SUSPECTS);
+        assertThat(quarantine.suspectCount()).isEqualTo(Quarantine.MOST_SUSPECTS);
         assertThat(quarantine.isEmpty()).isFalse();
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -370,7 +370,7 @@
                 .gauge(
                         "rattanrudder_relay_requests_suspected",
                         "Requests that were at a target when it ended",
-                        () -> state.quarantine().suspected());
+                        () -> state.quarantine().suspectCount());
         state.metrics()
                 .gauge(
                         "rattanrudder_relay_requests_quarantined",
