--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -232,7 +232,7 @@
     }
 
     /** Returns how many requests are quarantined. */
-    public int quarantined() {
+    public int quarantinedCount() {
         return held.size();
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -210,6 +210,6 @@
         reports.forEach(report -> shuffled.onCrash(report, false, NOW));
 
         assertThat(shuffled.remainingMillis(CAUSE, NOW).isPresent()).isEqualTo(ends >= Quarantine.CRASHES);
-        assertThat(shuffled.quarantined()).isLessThanOrEqualTo(1);
+        assertThat(shuffled.quarantinedCount()).isLessThanOrEqualTo(1);
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -375,7 +375,7 @@
                 .gauge(
                         "rattanrudder_relay_requests_quarantined",
                         "Requests that are sent to no target, since several ended under them",
-                        () -> state.quarantine().quarantined());
+                        () -> state.quarantine().quarantinedCount());
         double startedAt = System.currentTimeMillis() / MILLIS_PER_SECOND;
         state.metrics()
                 .gauge(
