--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -237,7 +237,7 @@
     }
 
     /** Returns the requests whose quarantine this relay has to record. */
-    public List<RequestFingerprint> unrecorded() {
+    public List<RequestFingerprint> recordsToWrite() {
         return held.entrySet().stream()
                 .filter(entry -> entry.getValue().keepsRecord && !entry.getValue().recorded)
                 .map(Map.Entry::getKey)
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -43,7 +43,7 @@
 
         assertThat(quarantine.remainingMillis(CAUSE, NOW + 10)).hasValue(Quarantine.KEPT_MILLIS - 10);
         assertThat(isHeld(OTHER)).isFalse();
-        assertThat(quarantine.unrecorded()).containsExactly(CAUSE);
+        assertThat(quarantine.recordsToWrite()).containsExactly(CAUSE);
     }
 
     @Test
@@ -133,7 +133,7 @@
             quarantine.onCrash(crash(target, CAUSE), false, NOW);
         }
         assertThat(isHeld(CAUSE)).isTrue();
-        assertThat(quarantine.unrecorded()).isEmpty();
+        assertThat(quarantine.recordsToWrite()).isEmpty();
 
         quarantine.onRecord(CAUSE, false, NOW);
         quarantine.expire(NOW + Quarantine.KEPT_MILLIS);
@@ -153,11 +153,11 @@
     void aRecordThatIsLostIsWrittenAgain() {
         crashes(3, CAUSE);
         quarantine.onRecord(CAUSE, false, NOW);
-        assertThat(quarantine.unrecorded()).isEmpty();
+        assertThat(quarantine.recordsToWrite()).isEmpty();
 
         quarantine.onRecordsListed(Set.of());
 
-        assertThat(quarantine.unrecorded()).containsExactly(CAUSE);
+        assertThat(quarantine.recordsToWrite()).containsExactly(CAUSE);
     }
 
     @Test
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
@@ -175,7 +175,7 @@
             return;
         }
         List<TargetCrash> crashes = List.copyOf(unwritten);
-        List<RequestFingerprint> unrecorded = quarantine.unrecorded();
+        List<RequestFingerprint> unrecorded = quarantine.recordsToWrite();
         List<RequestFingerprint> outdated = quarantine.outdatedRecords();
         List<QuarantineRecord> records = new ArrayList<>();
         crashes.forEach(crash ->
