--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -46,7 +46,7 @@
     private final Map<RequestFingerprint, Suspect> suspects = new LinkedHashMap<>();
 
     private final Map<RequestFingerprint, Held> held = new HashMap<>();
-    private final Set<RequestFingerprint> outdatedRecords = new HashSet<>();
+    private final Set<RequestFingerprint> recordsToRemove = new HashSet<>();
 
     /** By the time of the last answer, the oldest first. */
     private final Map<RequestFingerprint, Long> answeredAt = new LinkedHashMap<>();
@@ -143,11 +143,11 @@
      * @param foundAtStart whether it was there before this relay: nobody may be left who removes it
      */
     public void onRecord(RequestFingerprint request, boolean foundAtStart, long nowMillis) {
-        if (outdatedRecords.contains(request)) {
+        if (recordsToRemove.contains(request)) {
             return;
         }
         if (isCleared(request, nowMillis)) {
-            outdatedRecords.add(request);
+            recordsToRemove.add(request);
             return;
         }
         suspects.remove(request);
@@ -159,7 +159,7 @@
     public void onRecordWritten(RequestFingerprint request) {
         Held known = held.get(request);
         if (known == null) {
-            outdatedRecords.add(request);
+            recordsToRemove.add(request);
         } else {
             known.recorded = true;
         }
@@ -167,7 +167,7 @@
 
     /** Notes that the record of a request was removed: it may be sent again, and the next end quarantines it anew. */
     public void onRecordRemoved(RequestFingerprint request, long nowMillis) {
-        outdatedRecords.remove(request);
+        recordsToRemove.remove(request);
         if (held.remove(request) != null) {
             moved(request, nowMillis).crashesBefore = CRASHES - 1;
         }
@@ -186,7 +186,7 @@
         suspects.remove(request);
         Held known = held.remove(request);
         if (known != null && known.recorded) {
-            outdatedRecords.add(request);
+            recordsToRemove.add(request);
         }
     }
 
@@ -201,7 +201,7 @@
             if (nowMillis - known.since >= KEPT_MILLIS) {
                 onRecordRemoved(request, nowMillis);
                 if (known.recorded && known.keepsRecord) {
-                    outdatedRecords.add(request);
+                    recordsToRemove.add(request);
                 }
             }
         }
@@ -245,7 +245,7 @@
     }
 
     /** Returns the requests whose record this relay has to remove. */
-    public List<RequestFingerprint> outdatedRecords() {
-        return List.copyOf(outdatedRecords);
+    public List<RequestFingerprint> recordsToRemove() {
+        return List.copyOf(recordsToRemove);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -87,7 +87,7 @@
         quarantine.onRecord(CAUSE, false, NOW);
 
         assertThat(isHeld(CAUSE)).isFalse();
-        assertThat(quarantine.outdatedRecords()).containsExactly(CAUSE);
+        assertThat(quarantine.recordsToRemove()).containsExactly(CAUSE);
     }
 
     @Test
@@ -109,7 +109,7 @@
         quarantine.onAnswered(CAUSE, NOW);
 
         assertThat(isHeld(CAUSE)).isFalse();
-        assertThat(quarantine.outdatedRecords()).containsExactly(CAUSE);
+        assertThat(quarantine.recordsToRemove()).containsExactly(CAUSE);
     }
 
     @Test
@@ -118,9 +118,9 @@
         quarantine.onRecord(CAUSE, false, NOW);
         quarantine.expire(NOW + Quarantine.KEPT_MILLIS);
         assertThat(isHeld(CAUSE)).isFalse();
-        assertThat(quarantine.outdatedRecords()).containsExactly(CAUSE);
+        assertThat(quarantine.recordsToRemove()).containsExactly(CAUSE);
         quarantine.onRecordRemoved(CAUSE, NOW + Quarantine.KEPT_MILLIS);
-        assertThat(quarantine.outdatedRecords()).isEmpty();
+        assertThat(quarantine.recordsToRemove()).isEmpty();
 
         quarantine.onCrash(crash(9, CAUSE), true, NOW + Quarantine.KEPT_MILLIS);
 
@@ -138,7 +138,7 @@
         quarantine.onRecord(CAUSE, false, NOW);
         quarantine.expire(NOW + Quarantine.KEPT_MILLIS);
 
-        assertThat(quarantine.outdatedRecords()).isEmpty();
+        assertThat(quarantine.recordsToRemove()).isEmpty();
     }
 
     @Test
@@ -146,7 +146,7 @@
         quarantine.onRecord(CAUSE, true, NOW);
         quarantine.expire(NOW + Quarantine.KEPT_MILLIS);
 
-        assertThat(quarantine.outdatedRecords()).containsExactly(CAUSE);
+        assertThat(quarantine.recordsToRemove()).containsExactly(CAUSE);
     }
 
     @Test
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
@@ -176,7 +176,7 @@
         }
         List<TargetCrash> crashes = List.copyOf(unwritten);
         List<RequestFingerprint> unrecorded = quarantine.recordsToWrite();
-        List<RequestFingerprint> outdated = quarantine.outdatedRecords();
+        List<RequestFingerprint> outdated = quarantine.recordsToRemove();
         List<QuarantineRecord> records = new ArrayList<>();
         crashes.forEach(crash ->
                 records.add(new QuarantineRecord.Crashed(state.settings().instance(), crash)));
