--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -28,7 +28,7 @@
  */
 public final class Quarantine {
     /** Ends of targets after which a request is quarantined: fewer may befall one that only ran beside the cause. */
-    public static final int CRASHES = 3;
+    public static final int CRASH_THRESHOLD = 3;
 
     /** How long a request is quarantined, and how long the last end of a target is held against it, in ms. */
     public static final long KEPT_MILLIS = TimeUnit.HOURS.toMillis(1);
@@ -85,7 +85,7 @@
         for (RequestFingerprint request : suspectable(crash.requests(), nowMillis)) {
             Suspect suspect = suspect(request, crash, nowMillis);
             suspect.seenHere |= seenHere;
-            if (suspect.crashes() >= CRASHES) {
+            if (suspect.crashes() >= CRASH_THRESHOLD) {
                 suspects.remove(request);
                 held.put(request, new Held(nowMillis, suspect.seenHere));
             }
@@ -169,7 +169,7 @@
     public void onRecordRemoved(RequestFingerprint request, long nowMillis) {
         recordsToRemove.remove(request);
         if (held.remove(request) != null) {
-            moved(request, nowMillis).crashesBefore = CRASHES - 1;
+            moved(request, nowMillis).crashesBefore = CRASH_THRESHOLD - 1;
         }
     }
 
@@ -218,7 +218,7 @@
     /** Returns whether the next end of a target under a request would quarantine it. */
     public boolean isOneCrashFromQuarantine(RequestFingerprint request) {
         Suspect suspect = suspects.get(request);
-        return suspect != null && suspect.crashes() >= CRASHES - 1;
+        return suspect != null && suspect.crashes() >= CRASH_THRESHOLD - 1;
     }
 
     /** Returns whether nothing is held against any request. */
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -57,7 +57,7 @@
 
     @Test
     void anotherStartOfATargetIsAnotherEnd() {
-        for (int start = 1; start <= Quarantine.CRASHES; start++) {
+        for (int start = 1; start <= Quarantine.CRASH_THRESHOLD; start++) {
             quarantine.onCrash(new TargetCrash("i-1", start, Set.of(CAUSE)), true, NOW);
         }
 
@@ -129,7 +129,7 @@
 
     @Test
     void whoHasSeenNoEndLeavesTheRecordToOthers() {
-        for (int target = 0; target < Quarantine.CRASHES; target++) {
+        for (int target = 0; target < Quarantine.CRASH_THRESHOLD; target++) {
             quarantine.onCrash(crash(target, CAUSE), false, NOW);
         }
         assertThat(isHeld(CAUSE)).isTrue();
@@ -162,7 +162,7 @@
 
     @Test
     void endsFromBeforeThisRelayQuarantineOnlyWithAFurtherOne() {
-        for (int target = 0; target <= Quarantine.CRASHES; target++) {
+        for (int target = 0; target <= Quarantine.CRASH_THRESHOLD; target++) {
             quarantine.onPastCrash(crash(target, CAUSE, OTHER), NOW);
         }
         assertThat(isHeld(CAUSE)).isFalse();
@@ -209,7 +209,7 @@
         Quarantine shuffled = new Quarantine();
         reports.forEach(report -> shuffled.onCrash(report, false, NOW));
 
-        assertThat(shuffled.remainingMillis(CAUSE, NOW).isPresent()).isEqualTo(ends >= Quarantine.CRASHES);
+        assertThat(shuffled.remainingMillis(CAUSE, NOW).isPresent()).isEqualTo(ends >= Quarantine.CRASH_THRESHOLD);
         assertThat(shuffled.quarantinedCount()).isLessThanOrEqualTo(1);
     }
 }
