--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -31,7 +31,7 @@
     public static final int CRASH_THRESHOLD = 3;
 
     /** How long a request is quarantined, and how long the last end of a target is held against it, in ms. */
-    public static final long KEPT_MILLIS = TimeUnit.HOURS.toMillis(1);
+    public static final long QUARANTINE_MILLIS = TimeUnit.HOURS.toMillis(1);
 
     /** How long after an answer a request isn't suspected, in ms: what many ask for is at most targets at any time. */
     public static final long CLEARED_MILLIS = TimeUnit.MINUTES.toMillis(1);
@@ -193,12 +193,12 @@
     /** Lets go what has been held for long enough. */
     public void expire(long nowMillis) {
         Iterator<Suspect> oldest = suspects.values().iterator();
-        while (oldest.hasNext() && nowMillis - oldest.next().lastAt >= KEPT_MILLIS) {
+        while (oldest.hasNext() && nowMillis - oldest.next().lastAt >= QUARANTINE_MILLIS) {
             oldest.remove();
         }
         for (RequestFingerprint request : List.copyOf(held.keySet())) {
             Held known = held.get(request);
-            if (nowMillis - known.since >= KEPT_MILLIS) {
+            if (nowMillis - known.since >= QUARANTINE_MILLIS) {
                 onRecordRemoved(request, nowMillis);
                 if (known.recorded && known.keepsRecord) {
                     recordsToRemove.add(request);
@@ -212,7 +212,7 @@
         Held known = held.get(request);
         return known == null
                 ? OptionalLong.empty()
-                : OptionalLong.of(Math.max(0, known.since + KEPT_MILLIS - nowMillis));
+                : OptionalLong.of(Math.max(0, known.since + QUARANTINE_MILLIS - nowMillis));
     }
 
     /** Returns whether the next end of a target under a request would quarantine it. */
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -41,7 +41,7 @@
 
         quarantine.onCrash(crash(2, CAUSE, OTHER), true, NOW);
 
-        assertThat(quarantine.remainingMillis(CAUSE, NOW + 10)).hasValue(Quarantine.KEPT_MILLIS - 10);
+        assertThat(quarantine.remainingMillis(CAUSE, NOW + 10)).hasValue(Quarantine.QUARANTINE_MILLIS - 10);
         assertThat(isHeld(OTHER)).isFalse();
         assertThat(quarantine.recordsToWrite()).containsExactly(CAUSE);
     }
@@ -116,13 +116,13 @@
     void oneEndQuarantinesAnewAfterItsTime() {
         crashes(3, CAUSE);
         quarantine.onRecord(CAUSE, false, NOW);
-        quarantine.expire(NOW + Quarantine.KEPT_MILLIS);
+        quarantine.expire(NOW + Quarantine.QUARANTINE_MILLIS);
         assertThat(isHeld(CAUSE)).isFalse();
         assertThat(quarantine.recordsToRemove()).containsExactly(CAUSE);
-        quarantine.onRecordRemoved(CAUSE, NOW + Quarantine.KEPT_MILLIS);
+        quarantine.onRecordRemoved(CAUSE, NOW + Quarantine.QUARANTINE_MILLIS);
         assertThat(quarantine.recordsToRemove()).isEmpty();
 
-        quarantine.onCrash(crash(9, CAUSE), true, NOW + Quarantine.KEPT_MILLIS);
+        quarantine.onCrash(crash(9, CAUSE), true, NOW + Quarantine.QUARANTINE_MILLIS);
 
         assertThat(isHeld(CAUSE)).isTrue();
     }
@@ -136,7 +136,7 @@
         assertThat(quarantine.recordsToWrite()).isEmpty();
 
         quarantine.onRecord(CAUSE, false, NOW);
-        quarantine.expire(NOW + Quarantine.KEPT_MILLIS);
+        quarantine.expire(NOW + Quarantine.QUARANTINE_MILLIS);
 
         assertThat(quarantine.recordsToRemove()).isEmpty();
     }
@@ -144,7 +144,7 @@
     @Test
     void aRecordThatWasThereBeforeIsRemovedInTheEnd() {
         quarantine.onRecord(CAUSE, true, NOW);
-        quarantine.expire(NOW + Quarantine.KEPT_MILLIS);
+        quarantine.expire(NOW + Quarantine.QUARANTINE_MILLIS);
 
         assertThat(quarantine.recordsToRemove()).containsExactly(CAUSE);
     }
@@ -177,7 +177,7 @@
     @Test
     void suspicionEnds() {
         crashes(2, CAUSE);
-        quarantine.expire(NOW + Quarantine.KEPT_MILLIS);
+        quarantine.expire(NOW + Quarantine.QUARANTINE_MILLIS);
 
         assertThat(quarantine.isEmpty()).isTrue();
     }
