--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/NewsDuty.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StorePollSchedule.java
@@ -13,7 +13,7 @@
  * everybody's eyes, ask each store and tell the others, who ask themselves only when they have heard nothing for a
  * while.
  */
-public final class NewsDuty {
+public final class StorePollSchedule {
     /**
      * Relays that ask a store. Among few, the others must hear of it at once while one of them is restarted or cut off;
      * among many, each answer is told so often that one has to do, and another one asks a second later.
@@ -39,7 +39,7 @@
     private final Map<String, Long> weights = new HashMap<>();
 
     /** Makes the duty of one relay towards one store. */
-    public NewsDuty(String self, Address store) {
+    public StorePollSchedule(String self, Address store) {
         this.store = store;
         ownWeight = weight(self);
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/NewsDutyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/NewsDutyTest.java
@@ -21,15 +21,15 @@
         Address store = new Address("10.0.0.1", 80);
 
         List<Long> waits = relays.stream()
-                .map(relay -> new NewsDuty(relay, store)
+                .map(relay -> new StorePollSchedule(relay, store)
                         .askAfterMillis(relays.stream()
                                 .filter(other -> !other.equals(relay))
                                 .collect(Collectors.toSet())))
                 .toList();
 
-        assertThat(waits.stream().filter(wait -> wait == NewsDuty.GAP_MILLIS))
+        assertThat(waits.stream().filter(wait -> wait == StorePollSchedule.GAP_MILLIS))
                 .hasSize(count > 8 ? 1 : Math.min(2, count));
-        assertThat(waits.stream().filter(wait -> wait != NewsDuty.GAP_MILLIS))
+        assertThat(waits.stream().filter(wait -> wait != StorePollSchedule.GAP_MILLIS))
                 .doesNotHaveDuplicates()
                 .allMatch(wait -> wait >= 1_000);
     }
@@ -41,13 +41,14 @@
         Set<String> all =
                 IntStream.range(0, 30).mapToObj(number -> "relay-" + number).collect(Collectors.toSet());
         for (String relay : all) {
-            NewsDuty duty = new NewsDuty(relay, store);
+            StorePollSchedule duty = new StorePollSchedule(relay, store);
             Set<String> others =
                     all.stream().filter(other -> !other.equals(relay)).collect(Collectors.toSet());
             duty.askAfterMillis(others);
 
-            assertThat(duty.askAfterMillis(Set.of())).isEqualTo(NewsDuty.GAP_MILLIS);
-            assertThat(duty.askAfterMillis(others)).isEqualTo(new NewsDuty(relay, store).askAfterMillis(others));
+            assertThat(duty.askAfterMillis(Set.of())).isEqualTo(StorePollSchedule.GAP_MILLIS);
+            assertThat(duty.askAfterMillis(others))
+                    .isEqualTo(new StorePollSchedule(relay, store).askAfterMillis(others));
         }
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.rattanrudder.core.model.Address;
-import org.rattanrudder.core.parts.NewsDuty;
 import org.rattanrudder.core.parts.PartKey;
 import org.rattanrudder.core.parts.SharedNews;
 import org.rattanrudder.core.parts.StoreNews;
+import org.rattanrudder.core.parts.StorePollSchedule;
 import org.rattanrudder.daemon.relay.port.EngineDialect;
 
 /** Follows what one context store holds, and tells the directory and the other relays. */
@@ -33,7 +33,7 @@
     private final RelayState state;
     private final StepTimer timer;
     private final Address address;
-    private final NewsDuty duty;
+    private final StorePollSchedule duty;
     private final Consumer<SharedNews> tell;
     private final EngineDialect dialect;
     private final CallLine line;
@@ -48,7 +48,7 @@
         timer = new StepTimer(state.loop());
         this.tell = tell;
         this.address = address;
-        duty = new NewsDuty(self, address);
+        duty = new StorePollSchedule(self, address);
         dialect = state.platform().engines();
         line = new CallLine(state.connector(), () -> address);
     }
