--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StorePollSchedule.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StorePollSchedule.java
@@ -45,7 +45,7 @@
     }
 
     /** Returns how long after its last news of the store the relay asks it, in ms. */
-    public long askAfterMillis(Set<String> others) {
+    public long pollDelayMillis(Set<String> others) {
         if (weights.size() > others.size()) {
             weights.keySet().retainAll(others);
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/NewsDutyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/NewsDutyTest.java
@@ -22,7 +22,7 @@
 
         List<Long> waits = relays.stream()
                 .map(relay -> new StorePollSchedule(relay, store)
-                        .askAfterMillis(relays.stream()
+                        .pollDelayMillis(relays.stream()
                                 .filter(other -> !other.equals(relay))
                                 .collect(Collectors.toSet())))
                 .toList();
@@ -44,11 +44,11 @@
             StorePollSchedule duty = new StorePollSchedule(relay, store);
             Set<String> others =
                     all.stream().filter(other -> !other.equals(relay)).collect(Collectors.toSet());
-            duty.askAfterMillis(others);
+            duty.pollDelayMillis(others);
 
-            assertThat(duty.askAfterMillis(Set.of())).isEqualTo(StorePollSchedule.GAP_MILLIS);
-            assertThat(duty.askAfterMillis(others))
-                    .isEqualTo(new StorePollSchedule(relay, store).askAfterMillis(others));
+            assertThat(duty.pollDelayMillis(Set.of())).isEqualTo(StorePollSchedule.GAP_MILLIS);
+            assertThat(duty.pollDelayMillis(others))
+                    .isEqualTo(new StorePollSchedule(relay, store).pollDelayMillis(others));
         }
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
@@ -118,7 +118,7 @@
     }
 
     private void askLater() {
-        timer.next(this::ask, behind ? 0 : duty.askAfterMillis(state.fleet().livePeers(state.now())));
+        timer.next(this::ask, behind ? 0 : duty.pollDelayMillis(state.fleet().livePeers(state.now())));
     }
 
     private void list() {
