--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StorePollSchedule.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StorePollSchedule.java
@@ -24,7 +24,7 @@
     private static final int MANY = 8;
 
     /** The time between an answer and the next question, in ms: changes that come meanwhile share one answer. */
-    public static final long GAP_MILLIS = 250;
+    public static final long POLL_INTERVAL_MILLIS = 250;
 
     /** How old news may grow before a relay that isn't on duty asks itself, in ms. */
     private static final long PATIENCE_MILLIS = 1_000;
@@ -53,7 +53,7 @@
                 .filter(other -> Long.compareUnsigned(weights.computeIfAbsent(other, this::weight), ownWeight) > 0)
                 .count();
         int asking = others.size() >= MANY ? ASKING_OF_MANY : ASKING_OF_FEW;
-        return rank < asking ? GAP_MILLIS : PATIENCE_MILLIS + (rank - asking) * TURN_MILLIS;
+        return rank < asking ? POLL_INTERVAL_MILLIS : PATIENCE_MILLIS + (rank - asking) * TURN_MILLIS;
     }
 
     private long weight(String relay) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/NewsDutyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/NewsDutyTest.java
@@ -27,9 +27,9 @@
                                 .collect(Collectors.toSet())))
                 .toList();
 
-        assertThat(waits.stream().filter(wait -> wait == StorePollSchedule.GAP_MILLIS))
+        assertThat(waits.stream().filter(wait -> wait == StorePollSchedule.POLL_INTERVAL_MILLIS))
                 .hasSize(count > 8 ? 1 : Math.min(2, count));
-        assertThat(waits.stream().filter(wait -> wait != StorePollSchedule.GAP_MILLIS))
+        assertThat(waits.stream().filter(wait -> wait != StorePollSchedule.POLL_INTERVAL_MILLIS))
                 .doesNotHaveDuplicates()
                 .allMatch(wait -> wait >= 1_000);
     }
@@ -46,7 +46,7 @@
                     all.stream().filter(other -> !other.equals(relay)).collect(Collectors.toSet());
             duty.pollDelayMillis(others);
 
-            assertThat(duty.pollDelayMillis(Set.of())).isEqualTo(StorePollSchedule.GAP_MILLIS);
+            assertThat(duty.pollDelayMillis(Set.of())).isEqualTo(StorePollSchedule.POLL_INTERVAL_MILLIS);
             assertThat(duty.pollDelayMillis(others))
                     .isEqualTo(new StorePollSchedule(relay, store).pollDelayMillis(others));
         }
