--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StoreNews.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StoreUpdate.java
@@ -12,9 +12,9 @@
  * @param events the changes, oldest first
  * @param clockMillis the store's clock when it answered; empty if it didn't say
  */
-public record StoreNews(long incarnation, long next, boolean lost, List<PartEvent> events, OptionalLong clockMillis) {
+public record StoreUpdate(long incarnation, long next, boolean lost, List<PartEvent> events, OptionalLong clockMillis) {
     /** Takes a copy of the events. */
-    public StoreNews {
+    public StoreUpdate {
         events = List.copyOf(events);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StoreView.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StoreView.java
@@ -38,7 +38,7 @@
         store = newest;
     }
 
-    void heard(StoreNews news, long askedAt, long nowMillis) {
+    void heard(StoreUpdate news, long askedAt, long nowMillis) {
         if (news.incarnation() != incarnation) {
             incarnation = news.incarnation();
             incarnationSince = nowMillis;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
@@ -261,8 +261,8 @@
         assertThat(PartKey.weights("request-7")).isEmpty();
     }
 
-    private static StoreNews news(long incarnation, PartEvent... events) {
-        return new StoreNews(incarnation, 1, false, List.of(events), OptionalLong.of(SETTLED));
+    private static StoreUpdate news(long incarnation, PartEvent... events) {
+        return new StoreUpdate(incarnation, 1, false, List.of(events), OptionalLong.of(SETTLED));
     }
 
     private static PartEvent held(String salt, String id, int tokens) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
@@ -23,7 +23,7 @@
 import org.rattanrudder.core.parts.PartKey;
 import org.rattanrudder.core.parts.SharedNews;
 import org.rattanrudder.core.parts.StoreLateness;
-import org.rattanrudder.core.parts.StoreNews;
+import org.rattanrudder.core.parts.StoreUpdate;
 import org.rattanrudder.daemon.logging.Logging;
 import org.rattanrudder.daemon.relay.port.PlatformAdapter;
 import org.rattanrudder.document.RelaySettings;
@@ -79,7 +79,7 @@
                         new LoadReport.ReadOffsets(1, 1, 1))
                 .withInterval(ReportSchedule.ROUND_MILLIS, List.of(StoreLateness.of(new Address("127.0.0.1", 1), 1)));
         PeerCodec.read(PeerCodec.write(load));
-        StoreNews news = new StoreNews(
+        StoreUpdate news = new StoreUpdate(
                 1, 2, false, List.of(new PartEvent(new PartKey("w1", "part"), 1, true)), OptionalLong.of(1));
         PeerCodec.read(PeerCodec.write(new SharedNews(new Address("127.0.0.1", 1), 1, news, 1)));
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
@@ -6,8 +6,8 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.PartKey;
 import org.rattanrudder.core.parts.SharedNews;
-import org.rattanrudder.core.parts.StoreNews;
 import org.rattanrudder.core.parts.StorePollSchedule;
+import org.rattanrudder.core.parts.StoreUpdate;
 import org.rattanrudder.daemon.relay.port.EngineDialect;
 
 /** Follows what one context store holds, and tells the directory and the other relays. */
@@ -64,7 +64,7 @@
         long asked = state.now();
         long wait = behind ? CATCH_UP_MILLIS : WAIT_MILLIS;
         line.call(dialect.changes(since, wait), TIMEOUT_MILLIS, answer -> {
-            Optional<StoreNews> news = read(answer, true);
+            Optional<StoreUpdate> news = read(answer, true);
             if (news.isEmpty()) {
                 lost(answer);
                 return;
@@ -73,7 +73,7 @@
         });
     }
 
-    private void changed(StoreNews news, long asked) {
+    private void changed(StoreUpdate news, long asked) {
         regained();
         boolean restarted = news.incarnation() != incarnation;
         boolean first = incarnation < 0;
@@ -159,7 +159,7 @@
         });
     }
 
-    private Optional<StoreNews> read(CallAnswer answer, boolean changes) {
+    private Optional<StoreUpdate> read(CallAnswer answer, boolean changes) {
         if (!(answer instanceof CallAnswer.Answered answered)) {
             return Optional.empty();
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.rattanrudder.core.parts.PartKey;
-import org.rattanrudder.core.parts.StoreNews;
+import org.rattanrudder.core.parts.StoreUpdate;
 
 /** How engines and context stores are spoken to, beside requests. */
 public interface EngineDialect {
@@ -44,13 +44,13 @@
     PlatformCall changes(long since, long waitMillis);
 
     /** Reads the answer; empty if it is none. */
-    Optional<StoreNews> readChanges(int status, byte[] body);
+    Optional<StoreUpdate> readChanges(int status, byte[] body);
 
     /** Returns the call for all that a context store holds. */
     PlatformCall contents();
 
     /** Reads the answer; empty if it is none. */
-    Optional<StoreNews> readContents(int status, byte[] body);
+    Optional<StoreUpdate> readContents(int status, byte[] body);
 
     /** Returns the call that frees parts of a context store in the incarnation that is meant. */
     PlatformCall free(List<PartKey> parts, long incarnation);
--- a/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
+++ b/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
@@ -14,7 +14,7 @@
 import org.rattanrudder.core.parts.PartKey;
 import org.rattanrudder.core.parts.SharedNews;
 import org.rattanrudder.core.parts.StoreLateness;
-import org.rattanrudder.core.parts.StoreNews;
+import org.rattanrudder.core.parts.StoreUpdate;
 import org.rattanrudder.wire.generated.PeerMessages.KnownWeightsMessage;
 import org.rattanrudder.wire.generated.PeerMessages.PartEventMessage;
 import org.rattanrudder.wire.generated.PeerMessages.PartNewsMessage;
@@ -190,7 +190,7 @@
                 .toList();
         OptionalLong clock =
                 message.hasClockMillis() ? OptionalLong.of(message.getClockMillis()) : OptionalLong.empty();
-        StoreNews news = new StoreNews(message.getIncarnation(), message.getNext(), false, events, clock);
+        StoreUpdate news = new StoreUpdate(message.getIncarnation(), message.getNext(), false, events, clock);
         return new SharedNews(Address.parse(message.getStore()), message.getSince(), news, message.getAgeMillis());
     }
 }
--- a/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
+++ b/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
@@ -24,7 +24,7 @@
 import org.rattanrudder.core.parts.PartKey;
 import org.rattanrudder.core.parts.SharedNews;
 import org.rattanrudder.core.parts.StoreLateness;
-import org.rattanrudder.core.parts.StoreNews;
+import org.rattanrudder.core.parts.StoreUpdate;
 
 class PeerCodecTest {
     @Property
@@ -58,7 +58,7 @@
     @Property
     void newsOfStoresIsReadBack(
             @ForAll long incarnation, @ForAll @LongRange(min = 0) long next, @ForAll boolean clockKnown) {
-        StoreNews news = new StoreNews(
+        StoreUpdate news = new StoreUpdate(
                 incarnation,
                 next,
                 false,
