--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/SharedNews.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/SharedStoreUpdate.java
@@ -10,4 +10,4 @@
  * @param news what the store answered
  * @param ageMillis how long ago it was asked
  */
-public record SharedNews(Address store, long since, StoreUpdate news, long ageMillis) {}
+public record SharedStoreUpdate(Address store, long since, StoreUpdate news, long ageMillis) {}
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -25,7 +25,7 @@
 import org.rattanrudder.core.fleet.ReportSchedule;
 import org.rattanrudder.core.fleet.Target;
 import org.rattanrudder.core.model.Address;
-import org.rattanrudder.core.parts.SharedNews;
+import org.rattanrudder.core.parts.SharedStoreUpdate;
 import org.rattanrudder.core.parts.StoreLateness;
 import org.rattanrudder.daemon.relay.TopicFollower.Reading;
 import org.rattanrudder.daemon.relay.port.KeyedRecord;
@@ -74,7 +74,7 @@
     /** What others say that concerns other parts of this relay. */
     interface Listener {
         /** Another relay tells what a context store said. */
-        void news(SharedNews news);
+        void news(SharedStoreUpdate news);
 
         /** Another relay has read the platform's records so far. */
         void readTo(ReadOffsets readTo);
@@ -224,7 +224,7 @@
     }
 
     /** Tells the other relays what a context store said. */
-    void share(SharedNews news) {
+    void share(SharedStoreUpdate news) {
         send(PeerCodec.write(news), listening(addresses.keySet()));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
@@ -21,7 +21,7 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.PartEvent;
 import org.rattanrudder.core.parts.PartKey;
-import org.rattanrudder.core.parts.SharedNews;
+import org.rattanrudder.core.parts.SharedStoreUpdate;
 import org.rattanrudder.core.parts.StoreLateness;
 import org.rattanrudder.core.parts.StoreUpdate;
 import org.rattanrudder.daemon.logging.Logging;
@@ -81,7 +81,7 @@
         PeerCodec.read(PeerCodec.write(load));
         StoreUpdate news = new StoreUpdate(
                 1, 2, false, List.of(new PartEvent(new PartKey("w1", "part"), 1, true)), OptionalLong.of(1));
-        PeerCodec.read(PeerCodec.write(new SharedNews(new Address("127.0.0.1", 1), 1, news, 1)));
+        PeerCodec.read(PeerCodec.write(new SharedStoreUpdate(new Address("127.0.0.1", 1), 1, news, 1)));
     }
 
     /** Starts a relay on free ports and asks it; returns null if a port was taken meanwhile. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -25,7 +25,7 @@
 import org.rattanrudder.core.fleet.TargetRegistration;
 import org.rattanrudder.core.gateway.ContextStore;
 import org.rattanrudder.core.model.Address;
-import org.rattanrudder.core.parts.SharedNews;
+import org.rattanrudder.core.parts.SharedStoreUpdate;
 import org.rattanrudder.core.rollout.DesiredVersions;
 import org.rattanrudder.daemon.logging.EventLog;
 import org.rattanrudder.daemon.loop.Closer;
@@ -149,7 +149,7 @@
     /** Takes what other relays say. */
     private final class PeerNews implements PeerExchange.Listener {
         @Override
-        public void news(SharedNews news) {
+        public void news(SharedStoreUpdate news) {
             StoreWatch watch = stores.get(news.store());
             if (watch != null) {
                 watch.told(news);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.PartKey;
-import org.rattanrudder.core.parts.SharedNews;
+import org.rattanrudder.core.parts.SharedStoreUpdate;
 import org.rattanrudder.core.parts.StorePollSchedule;
 import org.rattanrudder.core.parts.StoreUpdate;
 import org.rattanrudder.daemon.relay.port.EngineDialect;
@@ -34,7 +34,7 @@
     private final StepTimer timer;
     private final Address address;
     private final StorePollSchedule duty;
-    private final Consumer<SharedNews> tell;
+    private final Consumer<SharedStoreUpdate> tell;
     private final EngineDialect dialect;
     private final CallLine line;
     private long since;
@@ -43,7 +43,7 @@
     private boolean answering = true;
     private boolean behind = true;
 
-    StoreWatch(RelayState state, String self, Address address, Consumer<SharedNews> tell) {
+    StoreWatch(RelayState state, String self, Address address, Consumer<SharedStoreUpdate> tell) {
         this.state = state;
         timer = new StepTimer(state.loop());
         this.tell = tell;
@@ -87,7 +87,7 @@
         }
         state.directory().heard(address, news, asked, state.now());
         if (news.events().size() <= TOLD_EVENTS) {
-            tell.accept(new SharedNews(address, since, news, state.now() - asked));
+            tell.accept(new SharedStoreUpdate(address, since, news, state.now() - asked));
         }
         behind = false;
         since = news.next();
@@ -100,7 +100,7 @@
     }
 
     /** Takes what another relay was told by the store. */
-    void told(SharedNews shared) {
+    void told(SharedStoreUpdate shared) {
         if (timer.isClosed() || incarnation < 0) {
             return;
         }
--- a/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
+++ b/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
@@ -12,7 +12,7 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.PartEvent;
 import org.rattanrudder.core.parts.PartKey;
-import org.rattanrudder.core.parts.SharedNews;
+import org.rattanrudder.core.parts.SharedStoreUpdate;
 import org.rattanrudder.core.parts.StoreLateness;
 import org.rattanrudder.core.parts.StoreUpdate;
 import org.rattanrudder.wire.generated.PeerMessages.KnownWeightsMessage;
@@ -51,7 +51,7 @@
          *
          * @param news the news
          */
-        record News(SharedNews news) implements Message {}
+        record News(SharedStoreUpdate news) implements Message {}
     }
 
     /** Returns the message as bytes. */
@@ -91,7 +91,7 @@
     }
 
     /** Returns the message as bytes. */
-    public static byte[] write(SharedNews shared) {
+    public static byte[] write(SharedStoreUpdate shared) {
         PartNewsMessage.Builder message = PartNewsMessage.newBuilder()
                 .setStore(shared.store().toString())
                 .setIncarnation(shared.news().incarnation())
@@ -181,7 +181,7 @@
         return figure;
     }
 
-    private static SharedNews news(PartNewsMessage message) {
+    private static SharedStoreUpdate news(PartNewsMessage message) {
         List<PartEvent> events = message.getEventsList().stream()
                 .map(each -> new PartEvent(
                         new PartKey(each.getSalt(), each.getId()),
@@ -191,6 +191,7 @@
         OptionalLong clock =
                 message.hasClockMillis() ? OptionalLong.of(message.getClockMillis()) : OptionalLong.empty();
         StoreUpdate news = new StoreUpdate(message.getIncarnation(), message.getNext(), false, events, clock);
-        return new SharedNews(Address.parse(message.getStore()), message.getSince(), news, message.getAgeMillis());
+        return new SharedStoreUpdate(
+                Address.parse(message.getStore()), message.getSince(), news, message.getAgeMillis());
     }
 }
--- a/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
+++ b/rattanrudder-wire/src/test/java/org/rattanrudder/wire/peer/PeerCodecTest.java
@@ -22,7 +22,7 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.PartEvent;
 import org.rattanrudder.core.parts.PartKey;
-import org.rattanrudder.core.parts.SharedNews;
+import org.rattanrudder.core.parts.SharedStoreUpdate;
 import org.rattanrudder.core.parts.StoreLateness;
 import org.rattanrudder.core.parts.StoreUpdate;
 
@@ -66,7 +66,7 @@
                         new PartEvent(new PartKey("w1", "5c1e07a2"), 800, true),
                         new PartEvent(new PartKey("w1", "x"), 0, false)),
                 clockKnown ? OptionalLong.of(-next) : OptionalLong.empty());
-        SharedNews shared = new SharedNews(new Address("10.0.0.1", 80), next / 2, news, next / 3);
+        SharedStoreUpdate shared = new SharedStoreUpdate(new Address("10.0.0.1", 80), next / 2, news, next / 3);
 
         assertThat(PeerCodec.read(PeerCodec.write(shared))).contains(new PeerCodec.Message.News(shared));
     }
