--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/SharedStoreUpdate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/SharedStoreUpdate.java
@@ -7,7 +7,7 @@
  *
  * @param store the store
  * @param since the event number that was asked from
- * @param news what the store answered
+ * @param update what the store answered
  * @param ageMillis how long ago it was asked
  */
-public record SharedStoreUpdate(Address store, long since, StoreUpdate news, long ageMillis) {}
+public record SharedStoreUpdate(Address store, long since, StoreUpdate update, long ageMillis) {}
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
@@ -104,7 +104,7 @@
         if (timer.isClosed() || incarnation < 0) {
             return;
         }
-        if (shared.news().incarnation() != incarnation || shared.since() > since) {
+        if (shared.update().incarnation() != incarnation || shared.since() > since) {
             // A restart, or messages that were lost: the store itself knows.
             behind = true;
             timer.next(this::ask, 0);
@@ -112,8 +112,8 @@
         }
         regained();
         long now = state.now();
-        state.directory().heard(address, shared.news(), now - shared.ageMillis(), now);
-        since = Math.max(since, shared.news().next());
+        state.directory().heard(address, shared.update(), now - shared.ageMillis(), now);
+        since = Math.max(since, shared.update().next());
         askLater();
     }
 
--- a/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
+++ b/rattanrudder-wire/src/main/java/org/rattanrudder/wire/peer/PeerCodec.java
@@ -94,12 +94,12 @@
     public static byte[] write(SharedStoreUpdate shared) {
         PartNewsMessage.Builder message = PartNewsMessage.newBuilder()
                 .setStore(shared.store().toString())
-                .setIncarnation(shared.news().incarnation())
+                .setIncarnation(shared.update().incarnation())
                 .setSince(shared.since())
-                .setNext(shared.news().next())
+                .setNext(shared.update().next())
                 .setAgeMillis(shared.ageMillis());
-        shared.news().clockMillis().ifPresent(message::setClockMillis);
-        for (PartEvent event : shared.news().events()) {
+        shared.update().clockMillis().ifPresent(message::setClockMillis);
+        for (PartEvent event : shared.update().events()) {
             message.addEvents(PartEventMessage.newBuilder()
                     .setSalt(event.key().salt())
                     .setId(event.key().id())
