--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartDirectory.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartDirectory.java
@@ -76,7 +76,7 @@
     }
 
     /** Takes what a store answered. */
-    public void heard(Address store, StoreUpdate news, long askedAtMillis, long nowMillis) {
+    public void applyStoreUpdate(Address store, StoreUpdate news, long askedAtMillis, long nowMillis) {
         StoreView view = stores.get(store);
         if (view != null) {
             view.heard(news, askedAtMillis, nowMillis);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
@@ -28,12 +28,12 @@
     @BeforeEach
     void oneStore() {
         directory.configure(List.of(new ContextStore("vault", STORE, "north", 100_000, 58_000, 6, true)));
-        directory.heard(STORE, news(1), BEGIN, BEGIN);
+        directory.applyStoreUpdate(STORE, news(1), BEGIN, BEGIN);
     }
 
     @Test
     void aPartIsReadOnceItIsWholeAndSavedOnlyOnce() {
-        directory.heard(STORE, news(1), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, news(1), SETTLED, SETTLED);
         PartPlan first = directory.plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED);
         assertThat(first.saves()).isTrue();
         assertThat(first.reads()).isFalse();
@@ -42,7 +42,7 @@
                         .saves())
                 .isFalse();
 
-        directory.heard(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED + 300, SETTLED + 300);
+        directory.applyStoreUpdate(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED + 300, SETTLED + 300);
         PartPlan second = directory.plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED + 310);
         assertThat(second.sources())
                 .containsExactly(Optional.of(new PartPlan.Source(STORE, 2_500)), Optional.empty(), Optional.empty());
@@ -54,7 +54,7 @@
         assertThat(directory.plan("w1", PROMPT, "north", true, OBJECTIVE, BEGIN).choices())
                 .containsExactly(PartChoice.UNSETTLED, PartChoice.UNSETTLED);
 
-        directory.heard(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED)
                         .choices())
@@ -68,7 +68,7 @@
                         .choices())
                 .containsExactly(PartChoice.NO_STORE, PartChoice.BEING_SAVED);
 
-        directory.heard(STORE, news(1, held("w1", "all", 95_000)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, news(1, held("w1", "all", 95_000)), SETTLED, SETTLED);
         assertThat(directory
                         .plan("w2", PROMPT, "north", true, OBJECTIVE, SETTLED)
                         .choices())
@@ -86,7 +86,7 @@
     /** Weights are being replaced: what is read under the old ones fills stores that the new ones will need. */
     @Test
     void nothingIsSavedUnderWeightsThatAreBeingReplaced() {
-        directory.heard(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
 
         PartPlan plan = directory.plan("w1", PROMPT, "north", false, OBJECTIVE, SETTLED);
 
@@ -98,7 +98,7 @@
     @ParameterizedTest
     @CsvSource({"60, 1000", "500, 1000", "700, 1400", "1000, 2000", "5000, 2000"})
     void aFetchIsWaitedForNotMuchLongerThanTheAnswerIsWanted(long objective, long fetchMillis) {
-        directory.heard(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
 
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, objective, SETTLED + 100)
@@ -109,7 +109,7 @@
     /** Parts are freed a while after nobody plans to read them any more: no fetch may go on for longer. */
     @Test
     void aFetchEndsWithinAKnownTimeOfItsRequest() {
-        directory.heard(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
 
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED + 700)
@@ -123,7 +123,7 @@
 
     @Test
     void theOwnPartOfAPromptIsLeftAlone() {
-        directory.heard(STORE, news(1), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, news(1), SETTLED, SETTLED);
 
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED)
@@ -138,11 +138,11 @@
      */
     @Test
     void noFetchFromAnEarlierIncarnationCanMeetASaveToTheNext() {
-        directory.heard(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
         PartDirectory other = new PartDirectory();
         other.configure(List.of(new ContextStore("vault", STORE, "north", 100_000, 58_000, 6, true)));
         long restart = SETTLED + 1;
-        other.heard(STORE, news(2), restart, restart);
+        other.applyStoreUpdate(STORE, news(2), restart, restart);
 
         long lastUse = SETTLED + PartDirectory.FRESH_MILLIS;
         PartPlan latest = directory.plan("w1", PROMPT, "north", true, OBJECTIVE, lastUse);
@@ -153,7 +153,7 @@
                 .isFalse();
 
         long firstSave = restart + PartDirectory.SETTLED_MILLIS;
-        other.heard(STORE, news(2), firstSave - 1, firstSave - 1);
+        other.applyStoreUpdate(STORE, news(2), firstSave - 1, firstSave - 1);
         assertThat(other.plan("w1", PROMPT, "north", true, OBJECTIVE, firstSave - 1)
                         .saves())
                 .isFalse();
@@ -168,7 +168,7 @@
      */
     @Test
     void aSlowStoreIsReadByFewUntilItHasRecovered() {
-        directory.heard(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
         directory.fetched(new StoreLateness(STORE, 60, 1_900), SETTLED);
 
         assertThat(reads(100, SETTLED)).isBetween(1, 10);
@@ -179,14 +179,14 @@
                 .isEmpty();
 
         long recovered = SETTLED + 9_000;
-        directory.heard(STORE, news(1), recovered, recovered);
+        directory.applyStoreUpdate(STORE, news(1), recovered, recovered);
         assertThat(reads(100, recovered)).isEqualTo(100);
     }
 
     /** Half of a slow store's prompts would do to keep its link busy: the others shouldn't wait for it. */
     @Test
     void theLaterAStoreTheFewerReadThere() {
-        directory.heard(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
         directory.fetched(new StoreLateness(STORE, 200, 230), SETTLED);
 
         assertThat(reads(100, SETTLED)).isBetween(45, 55);
@@ -201,7 +201,7 @@
                 new ContextStore("vault", STORE, "north", 100_000, 58_000, 6, true),
                 new ContextStore("vault", second, "north", 100_000, 58_000, 6, true),
                 new ContextStore("vault", third, "north", 100_000, 58_000, 6, true)));
-        directory.heard(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
         directory.fetched(new StoreLateness(STORE, 50, 500), SETTLED);
         directory.fetched(new StoreLateness(second, 50, 480), SETTLED);
         assertThat(reads(100, SETTLED)).as("one of three isn't late").isEqualTo(100);
@@ -227,7 +227,7 @@
 
     @Test
     void aFullStoreTakesNothing() {
-        directory.heard(STORE, news(1, held("w1", "other", 96_000)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, news(1, held("w1", "other", 96_000)), SETTLED, SETTLED);
 
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED)
@@ -239,7 +239,8 @@
 
     @Test
     void partsOfOlderWeightsAreOutdated() {
-        directory.heard(STORE, news(1, held("w1", "sheet", 10), held("w2.mine", "sheet", 10)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(
+                STORE, news(1, held("w1", "sheet", 10), held("w2.mine", "sheet", 10)), SETTLED, SETTLED);
 
         assertThat(directory.outdated(STORE, 2)).containsExactly(new PartKey("w1", "sheet"));
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
@@ -85,7 +85,7 @@
             timer.next(this::ask, 0);
             return;
         }
-        state.directory().heard(address, news, asked, state.now());
+        state.directory().applyStoreUpdate(address, news, asked, state.now());
         if (news.events().size() <= TOLD_EVENTS) {
             tell.accept(new SharedStoreUpdate(address, since, news, state.now() - asked));
         }
@@ -112,7 +112,7 @@
         }
         regained();
         long now = state.now();
-        state.directory().heard(address, shared.update(), now - shared.ageMillis(), now);
+        state.directory().applyStoreUpdate(address, shared.update(), now - shared.ageMillis(), now);
         since = Math.max(since, shared.update().next());
         askLater();
     }
@@ -126,7 +126,7 @@
         listedAt = asked;
         line.call(dialect.contents(), TIMEOUT_MILLIS, answer -> {
             read(answer, false).ifPresent(all -> {
-                state.directory().heard(address, all, asked, state.now());
+                state.directory().applyStoreUpdate(address, all, asked, state.now());
                 since = all.next();
                 state.log()
                         .info(
