--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartDirectory.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartDirectory.java
@@ -90,7 +90,7 @@
     }
 
     /** Returns the parts of a store that no request reads any more, since they belong to older weights. */
-    public List<PartKey> outdated(Address store, long oldestWeightsInUse) {
+    public List<PartKey> outdatedParts(Address store, long oldestWeightsInUse) {
         StoreView view = stores.get(store);
         if (view == null) {
             return List.of();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
@@ -242,7 +242,7 @@
         directory.applyStoreUpdate(
                 STORE, news(1, held("w1", "sheet", 10), held("w2.mine", "sheet", 10)), SETTLED, SETTLED);
 
-        assertThat(directory.outdated(STORE, 2)).containsExactly(new PartKey("w1", "sheet"));
+        assertThat(directory.outdatedParts(STORE, 2)).containsExactly(new PartKey("w1", "sheet"));
     }
 
     /** A mine's dossier must never be found by a request of another mine, nor by one under other weights. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OutdatedParts.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OutdatedParts.java
@@ -41,7 +41,7 @@
     }
 
     private void free(Address address, StoreWatch watch, long before) {
-        List<PartKey> parts = state.directory().outdated(address, before);
+        List<PartKey> parts = state.directory().outdatedParts(address, before);
         if (!parts.isEmpty()) {
             List<PartKey> batch = parts.subList(0, Math.min(parts.size(), FREED_AT_ONCE));
             watch.free(batch, state.directory().incarnation(address));
