--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartDirectory.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartDirectory.java
@@ -188,7 +188,7 @@
     }
 
     /** Notes by how much the first bytes of answers were late whose prompts were read from a store. */
-    public void fetched(StoreLateness late, long nowMillis) {
+    public void recordFetchLateness(StoreLateness late, long nowMillis) {
         StoreView view = stores.get(late.store());
         if (view != null) {
             view.delay().observed(late.samples(), late.meanMillis(), nowMillis);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
@@ -74,7 +74,7 @@
                         .choices())
                 .containsExactly(PartChoice.NO_ROOM, PartChoice.NO_ROOM);
 
-        directory.fetched(new StoreLateness(STORE, 200, 9_000), SETTLED);
+        directory.recordFetchLateness(new StoreLateness(STORE, 200, 9_000), SETTLED);
         directory.plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED);
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED)
@@ -169,7 +169,7 @@
     @Test
     void aSlowStoreIsReadByFewUntilItHasRecovered() {
         directory.applyStoreUpdate(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
-        directory.fetched(new StoreLateness(STORE, 60, 1_900), SETTLED);
+        directory.recordFetchLateness(new StoreLateness(STORE, 60, 1_900), SETTLED);
 
         assertThat(reads(100, SETTLED)).isBetween(1, 10);
         assertThat(directory
@@ -187,7 +187,7 @@
     @Test
     void theLaterAStoreTheFewerReadThere() {
         directory.applyStoreUpdate(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
-        directory.fetched(new StoreLateness(STORE, 200, 230), SETTLED);
+        directory.recordFetchLateness(new StoreLateness(STORE, 200, 230), SETTLED);
 
         assertThat(reads(100, SETTLED)).isBetween(45, 55);
     }
@@ -202,14 +202,14 @@
                 new ContextStore("vault", second, "north", 100_000, 58_000, 6, true),
                 new ContextStore("vault", third, "north", 100_000, 58_000, 6, true)));
         directory.applyStoreUpdate(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
-        directory.fetched(new StoreLateness(STORE, 50, 500), SETTLED);
-        directory.fetched(new StoreLateness(second, 50, 480), SETTLED);
+        directory.recordFetchLateness(new StoreLateness(STORE, 50, 500), SETTLED);
+        directory.recordFetchLateness(new StoreLateness(second, 50, 480), SETTLED);
         assertThat(reads(100, SETTLED)).as("one of three isn't late").isEqualTo(100);
 
-        directory.fetched(new StoreLateness(third, 50, 490), SETTLED);
+        directory.recordFetchLateness(new StoreLateness(third, 50, 490), SETTLED);
         assertThat(reads(100, SETTLED)).isEqualTo(100);
 
-        directory.fetched(new StoreLateness(STORE, 50, 1_900), SETTLED);
+        directory.recordFetchLateness(new StoreLateness(STORE, 50, 1_900), SETTLED);
         assertThat(reads(100, SETTLED)).as("much later than the others").isBetween(1, 20);
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/FetchNews.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/FetchNews.java
@@ -34,7 +34,7 @@
                 .max(Comparator.comparingInt(PartPlan.Source::tokens))
                 .ifPresent(source -> {
                     StoreLateness one = StoreLateness.of(source.address(), excess);
-                    directory.fetched(one, nowMillis);
+                    directory.recordFetchLateness(one, nowMillis);
                     current.merge(source.address(), one, StoreLateness::plus);
                 });
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -299,7 +299,7 @@
             long now = state.now();
             schedule.onReport(relay, now);
             state.fleet().applyLoadReport(load, now);
-            load.storeLateness().forEach(late -> state.directory().fetched(late, now));
+            load.storeLateness().forEach(late -> state.directory().recordFetchLateness(late, now));
             load.weights()
                     .forEach(known ->
                             state.weights().applyPeerAge(known.model(), known.version(), known.ageMillis(), now));
