--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartDirectory.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartDirectory.java
@@ -96,7 +96,7 @@
             return List.of();
         }
         return view.held().keySet().stream()
-                .filter(key -> PartKey.weights(key.salt())
+                .filter(key -> PartKey.weightVersion(key.salt())
                         .filter(made -> made < oldestWeightsInUse)
                         .isPresent())
                 .toList();
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartKey.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartKey.java
@@ -24,7 +24,7 @@
     }
 
     /** Returns the version of weights in a salt of ours; empty if it isn't one. */
-    public static Optional<Long> weights(String salt) {
+    public static Optional<Long> weightVersion(String salt) {
         if (!salt.startsWith("w")) {
             return Optional.empty();
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
@@ -258,8 +258,8 @@
                         PartKey.salt(2, shared)))
                 .doesNotHaveDuplicates();
         assertThat(PartKey.salt(1, shared)).isEqualTo(PartKey.salt(1, Optional.empty()));
-        assertThat(PartKey.weights(PartKey.salt(12, isolated))).contains(12L);
-        assertThat(PartKey.weights("request-7")).isEmpty();
+        assertThat(PartKey.weightVersion(PartKey.salt(12, isolated))).contains(12L);
+        assertThat(PartKey.weightVersion("request-7")).isEmpty();
     }
 
     private static StoreUpdate news(long incarnation, PartEvent... events) {
