--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartPlan.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartPlan.java
@@ -9,13 +9,13 @@
  * Where an engine reads and saves each part of one prompt.
  *
  * @param sources for each part the store to read it from
- * @param targets for each part the store to save it in once it was read
+ * @param destinations for each part the store to save it in once it was read
  * @param untilMillis when fetches must have ended, on the stores' clock; later ones are thrown away
  * @param choices for each shared part what was decided
  */
 public record PartPlan(
         List<Optional<Source>> sources,
-        List<Optional<Address>> targets,
+        List<Optional<Address>> destinations,
         OptionalLong untilMillis,
         List<PartChoice> choices) {
     /** A plan that moves nothing. */
@@ -24,7 +24,7 @@
     /** Takes copies of the lists. */
     public PartPlan {
         sources = List.copyOf(sources);
-        targets = List.copyOf(targets);
+        destinations = List.copyOf(destinations);
         choices = List.copyOf(choices);
     }
 
@@ -43,6 +43,6 @@
 
     /** Returns whether anything is saved. */
     public boolean saves() {
-        return targets.stream().anyMatch(Optional::isPresent);
+        return destinations.stream().anyMatch(Optional::isPresent);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
@@ -127,7 +127,7 @@
 
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED)
-                        .targets()
+                        .destinations()
                         .get(2))
                 .isEmpty();
     }
@@ -174,7 +174,7 @@
         assertThat(reads(100, SETTLED)).isBetween(1, 10);
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED)
-                        .targets()
+                        .destinations()
                         .get(1))
                 .isEmpty();
 
@@ -231,7 +231,7 @@
 
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED)
-                        .targets()
+                        .destinations()
                         .get(1))
                 .isEmpty();
         assertThat(directory.usedTokens(STORE)).isEqualTo(96_000);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -222,7 +222,7 @@
 
     private void noteParts(Target target, Optional<String> salt, PartPlan parts) {
         int read = count(parts.sources());
-        int saved = count(parts.targets());
+        int saved = count(parts.destinations());
         state.metrics().parts("read", read);
         state.metrics().parts("saved", saved);
         state.log()
