--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartRetirement.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartRetirement.java
@@ -27,7 +27,7 @@
      *
      * @param version their version; 0 if it isn't known
      */
-    public void oldestServed(long version, long nowMillis) {
+    public void updateOldestServed(long version, long nowMillis) {
         // An engine that was unknown, or that started again with older weights than the others, takes them up again.
         sinceByVersion.tailMap(version, false).clear();
         if (version > 0) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartRetirementTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartRetirementTest.java
@@ -15,8 +15,8 @@
      */
     @Test
     void partsAreFreedOnceNoFetchOfThemCanGoOn() {
-        retirement.oldestServed(1, 0);
-        retirement.oldestServed(2, 5_000);
+        retirement.updateOldestServed(1, 0);
+        retirement.updateOldestServed(2, 5_000);
 
         assertThat(retirement.freeBefore(5_000 + WAIT - 1)).isEqualTo(1);
         assertThat(retirement.freeBefore(5_000 + WAIT)).isEqualTo(2);
@@ -25,11 +25,11 @@
     /** An engine loses power while it fetches and starts again with the weights that it had. */
     @Test
     void anEngineThatComesBackWithOldWeightsKeepsTheirParts() {
-        retirement.oldestServed(2, 0);
-        retirement.oldestServed(1, 100);
+        retirement.updateOldestServed(2, 0);
+        retirement.updateOldestServed(1, 100);
         assertThat(retirement.freeBefore(100 + WAIT)).isEqualTo(1);
 
-        retirement.oldestServed(2, 200);
+        retirement.updateOldestServed(2, 200);
         assertThat(retirement.freeBefore(200 + WAIT - 1)).isEqualTo(1);
         assertThat(retirement.freeBefore(200 + WAIT)).isEqualTo(2);
     }
@@ -37,10 +37,10 @@
     /** A second version is named before the first is everywhere: the oldest parts needn't wait for it. */
     @Test
     void eachVersionsPartsAreFreedByThemselves() {
-        retirement.oldestServed(1, 0);
-        retirement.oldestServed(2, 4_000);
-        retirement.oldestServed(2, 6_000);
-        retirement.oldestServed(3, 6_100);
+        retirement.updateOldestServed(1, 0);
+        retirement.updateOldestServed(2, 4_000);
+        retirement.updateOldestServed(2, 6_000);
+        retirement.updateOldestServed(3, 6_100);
 
         assertThat(retirement.freeBefore(4_000 + WAIT)).isEqualTo(2);
         assertThat(retirement.freeBefore(6_100 + WAIT)).isEqualTo(3);
@@ -48,11 +48,11 @@
 
     @Test
     void nothingIsFreedWhileTheWeightsAreUnknown() {
-        retirement.oldestServed(0, 0);
+        retirement.updateOldestServed(0, 0);
         assertThat(retirement.freeBefore(60_000)).isZero();
 
-        retirement.oldestServed(2, 60_000);
-        retirement.oldestServed(0, 60_001);
+        retirement.updateOldestServed(2, 60_000);
+        retirement.updateOldestServed(0, 60_001);
         assertThat(retirement.freeBefore(120_000)).isZero();
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OutdatedParts.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OutdatedParts.java
@@ -30,7 +30,7 @@
 
     /** Frees some, if it is time. */
     void free(long now) {
-        retirement.oldestServed(oldestServed(now), now);
+        retirement.updateOldestServed(oldestServed(now), now);
         long before = retirement.freeBefore(now);
         boolean due = before != freedBefore || now - lookedAt >= AGAIN_MILLIS;
         if (before > 0 && due) {
