--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartRetirement.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartRetirement.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns the version before which parts may be freed; 0 if none may. */
-    public long freeBefore(long nowMillis) {
+    public long evictableBefore(long nowMillis) {
         while (sinceByVersion.size() > 1
                 && isOver(sinceByVersion.higherEntry(sinceByVersion.firstKey()).getValue(), nowMillis)) {
             sinceByVersion.pollFirstEntry();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartRetirementTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartRetirementTest.java
@@ -18,8 +18,8 @@
         retirement.updateOldestServed(1, 0);
         retirement.updateOldestServed(2, 5_000);
 
-        assertThat(retirement.freeBefore(5_000 + WAIT - 1)).isEqualTo(1);
-        assertThat(retirement.freeBefore(5_000 + WAIT)).isEqualTo(2);
+        assertThat(retirement.evictableBefore(5_000 + WAIT - 1)).isEqualTo(1);
+        assertThat(retirement.evictableBefore(5_000 + WAIT)).isEqualTo(2);
     }
 
     /** An engine loses power while it fetches and starts again with the weights that it had. */
@@ -27,11 +27,11 @@
     void anEngineThatComesBackWithOldWeightsKeepsTheirParts() {
         retirement.updateOldestServed(2, 0);
         retirement.updateOldestServed(1, 100);
-        assertThat(retirement.freeBefore(100 + WAIT)).isEqualTo(1);
+        assertThat(retirement.evictableBefore(100 + WAIT)).isEqualTo(1);
 
         retirement.updateOldestServed(2, 200);
-        assertThat(retirement.freeBefore(200 + WAIT - 1)).isEqualTo(1);
-        assertThat(retirement.freeBefore(200 + WAIT)).isEqualTo(2);
+        assertThat(retirement.evictableBefore(200 + WAIT - 1)).isEqualTo(1);
+        assertThat(retirement.evictableBefore(200 + WAIT)).isEqualTo(2);
     }
 
     /** A second version is named before the first is everywhere: the oldest parts needn't wait for it. */
@@ -42,17 +42,17 @@
         retirement.updateOldestServed(2, 6_000);
         retirement.updateOldestServed(3, 6_100);
 
-        assertThat(retirement.freeBefore(4_000 + WAIT)).isEqualTo(2);
-        assertThat(retirement.freeBefore(6_100 + WAIT)).isEqualTo(3);
+        assertThat(retirement.evictableBefore(4_000 + WAIT)).isEqualTo(2);
+        assertThat(retirement.evictableBefore(6_100 + WAIT)).isEqualTo(3);
     }
 
     @Test
     void nothingIsFreedWhileTheWeightsAreUnknown() {
         retirement.updateOldestServed(0, 0);
-        assertThat(retirement.freeBefore(60_000)).isZero();
+        assertThat(retirement.evictableBefore(60_000)).isZero();
 
         retirement.updateOldestServed(2, 60_000);
         retirement.updateOldestServed(0, 60_001);
-        assertThat(retirement.freeBefore(120_000)).isZero();
+        assertThat(retirement.evictableBefore(120_000)).isZero();
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OutdatedParts.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OutdatedParts.java
@@ -31,7 +31,7 @@
     /** Frees some, if it is time. */
     void free(long now) {
         retirement.updateOldestServed(oldestServed(now), now);
-        long before = retirement.freeBefore(now);
+        long before = retirement.evictableBefore(now);
         boolean due = before != freedBefore || now - lookedAt >= AGAIN_MILLIS;
         if (before > 0 && due) {
             freedBefore = before;
