--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/AnswerRules.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
@@ -9,7 +9,7 @@
  * another target may do better, or its status would promise the caller that the request did not run, which the target
  * hasn't said.
  */
-public final class AnswerRules {
+public final class ResponseClassifier {
     /** Statuses that promise a caller that its request did not run. */
     private static final Set<Integer> PROMISES = Set.of(408, 429, 503);
 
@@ -17,7 +17,7 @@
     private static final int FIRST_REDIRECT = 300;
     private static final int FIRST_SERVER_ERROR = 500;
 
-    private AnswerRules() {}
+    private ResponseClassifier() {}
 
     /** What becomes of an answer. */
     public enum Verdict {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/AnswerRulesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/AnswerRulesTest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.rattanrudder.core.gateway.AnswerRules.Head;
-import org.rattanrudder.core.gateway.AnswerRules.Verdict;
+import org.rattanrudder.core.gateway.ResponseClassifier.Head;
+import org.rattanrudder.core.gateway.ResponseClassifier.Verdict;
 
 class AnswerRulesTest {
     @ParameterizedTest
@@ -26,7 +26,7 @@
             int status, boolean signed, boolean notRun, boolean misdirected, RepeatRule repeat, Verdict expected) {
         Head head = new Head(status, signed, notRun, misdirected);
 
-        assertThat(AnswerRules.judge(head, progress(repeat, false))).isEqualTo(expected);
+        assertThat(ResponseClassifier.judge(head, progress(repeat, false))).isEqualTo(expected);
     }
 
     /**
@@ -37,7 +37,7 @@
     void aFailureAfterTheAnswerBeganIsNeverPassedOn(int status) {
         Head head = new Head(status, true, false, false);
 
-        assertThat(AnswerRules.judge(head, progress(RepeatRule.STREAM_RESUMABLE, true)))
+        assertThat(ResponseClassifier.judge(head, progress(RepeatRule.STREAM_RESUMABLE, true)))
                 .isEqualTo(Verdict.REPLACE);
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -19,9 +19,9 @@
 import org.rattanrudder.core.fleet.Placement;
 import org.rattanrudder.core.fleet.SendWindow;
 import org.rattanrudder.core.fleet.Target;
-import org.rattanrudder.core.gateway.AnswerRules;
 import org.rattanrudder.core.gateway.AttemptOutcome;
 import org.rattanrudder.core.gateway.AttemptRules;
+import org.rattanrudder.core.gateway.ResponseClassifier;
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.daemon.relay.port.AnswerFacts;
 
@@ -242,9 +242,9 @@
                 .model()
                 .ifPresent(model ->
                         facts.weights().ifPresent(version -> target.confirmWeights(model, version, state.now())));
-        AnswerRules.Head judged =
-                new AnswerRules.Head(facts.status(), facts.signed(), facts.notRun(), facts.misdirected());
-        switch (AnswerRules.judge(judged, progress(1))) {
+        ResponseClassifier.Head judged =
+                new ResponseClassifier.Head(facts.status(), facts.signed(), facts.notRun(), facts.misdirected());
+        switch (ResponseClassifier.judge(judged, progress(1))) {
             case PASS_ON -> answer.head(response);
             case MISDIRECTED -> misdirected(target, facts);
             case REJECTED -> {
