--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
@@ -49,7 +49,7 @@
      * @param head its head
      * @param progress the request's progress, this attempt counted as one that may have run
      */
-    public static Verdict judge(Head head, AttemptRules.Progress progress) {
+    public static Verdict classify(Head head, AttemptRules.Progress progress) {
         if (head.misdirected()) {
             return Verdict.MISDIRECTED;
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/AnswerRulesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/AnswerRulesTest.java
@@ -26,7 +26,7 @@
             int status, boolean signed, boolean notRun, boolean misdirected, RepeatRule repeat, Verdict expected) {
         Head head = new Head(status, signed, notRun, misdirected);
 
-        assertThat(ResponseClassifier.judge(head, progress(repeat, false))).isEqualTo(expected);
+        assertThat(ResponseClassifier.classify(head, progress(repeat, false))).isEqualTo(expected);
     }
 
     /**
@@ -37,7 +37,7 @@
     void aFailureAfterTheAnswerBeganIsNeverPassedOn(int status) {
         Head head = new Head(status, true, false, false);
 
-        assertThat(ResponseClassifier.judge(head, progress(RepeatRule.STREAM_RESUMABLE, true)))
+        assertThat(ResponseClassifier.classify(head, progress(RepeatRule.STREAM_RESUMABLE, true)))
                 .isEqualTo(Verdict.REPLACE);
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -244,7 +244,7 @@
                         facts.weights().ifPresent(version -> target.confirmWeights(model, version, state.now())));
         ResponseClassifier.Head judged =
                 new ResponseClassifier.Head(facts.status(), facts.signed(), facts.notRun(), facts.misdirected());
-        switch (ResponseClassifier.judge(judged, progress(1))) {
+        switch (ResponseClassifier.classify(judged, progress(1))) {
             case PASS_ON -> answer.head(response);
             case MISDIRECTED -> misdirected(target, facts);
             case REJECTED -> {
