--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
@@ -22,7 +22,7 @@
     /** What becomes of an answer. */
     public enum Verdict {
         /** It goes to the caller. */
-        PASS_ON,
+        FORWARD,
         /** Another target, or other weights, were meant; the request did not run. */
         MISDIRECTED,
         /** The target says that it didn't run the request. */
@@ -57,13 +57,13 @@
             return Verdict.REJECTED;
         }
         if (isSuccess(head.status())) {
-            return head.signed() ? Verdict.PASS_ON : Verdict.NO_ANSWER;
+            return head.signed() ? Verdict.FORWARD : Verdict.NO_ANSWER;
         }
         boolean failure = head.status() >= FIRST_SERVER_ERROR;
         boolean replaced = progress.answerBegan()
                 || PROMISES.contains(head.status())
                 || failure && AttemptRules.mayRetry(progress, AttemptOutcome.FAILED);
-        return replaced ? Verdict.REPLACE : Verdict.PASS_ON;
+        return replaced ? Verdict.REPLACE : Verdict.FORWARD;
     }
 
     private static boolean isSuccess(int status) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -245,7 +245,7 @@
         ResponseClassifier.Head judged =
                 new ResponseClassifier.Head(facts.status(), facts.signed(), facts.notRun(), facts.misdirected());
         switch (ResponseClassifier.classify(judged, progress(1))) {
-            case PASS_ON -> answer.head(response);
+            case FORWARD -> answer.head(response);
             case MISDIRECTED -> misdirected(target, facts);
             case REJECTED -> {
                 target.onRejected(state.now());
