--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
@@ -28,7 +28,7 @@
         /** The target says that it didn't run the request. */
         REJECTED,
         /** It claims success without the target's word for it: it isn't an answer. */
-        NO_ANSWER,
+        INVALID_RESPONSE,
         /** The request failed there; another target is tried, or the caller gets a failure of our own. */
         REPLACE
     }
@@ -57,7 +57,7 @@
             return Verdict.REJECTED;
         }
         if (isSuccess(head.status())) {
-            return head.signed() ? Verdict.FORWARD : Verdict.NO_ANSWER;
+            return head.signed() ? Verdict.FORWARD : Verdict.INVALID_RESPONSE;
         }
         boolean failure = head.status() >= FIRST_SERVER_ERROR;
         boolean replaced = progress.answerBegan()
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -251,7 +251,7 @@
                 target.onRejected(state.now());
                 drop(AttemptOutcome.REJECTED, "rejected with " + facts.status());
             }
-            case NO_ANSWER -> {
+            case INVALID_RESPONSE -> {
                 attempt.connection().abort();
                 failed(AttemptOutcome.BROKEN, "success without a signature");
             }
