--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
@@ -30,7 +30,7 @@
         /** It claims success without the target's word for it: it isn't an answer. */
         INVALID_RESPONSE,
         /** The request failed there; another target is tried, or the caller gets a failure of our own. */
-        REPLACE
+        RETRY_OR_FAIL
     }
 
     /**
@@ -63,7 +63,7 @@
         boolean replaced = progress.answerBegan()
                 || PROMISES.contains(head.status())
                 || failure && AttemptRules.mayRetry(progress, AttemptOutcome.FAILED);
-        return replaced ? Verdict.REPLACE : Verdict.FORWARD;
+        return replaced ? Verdict.RETRY_OR_FAIL : Verdict.FORWARD;
     }
 
     private static boolean isSuccess(int status) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/AnswerRulesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/AnswerRulesTest.java
@@ -38,7 +38,7 @@
         Head head = new Head(status, true, false, false);
 
         assertThat(ResponseClassifier.classify(head, progress(RepeatRule.STREAM_RESUMABLE, true)))
-                .isEqualTo(Verdict.REPLACE);
+                .isEqualTo(Verdict.RETRY_OR_FAIL);
     }
 
     private static AttemptRules.Progress progress(RepeatRule repeat, boolean began) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -255,7 +255,7 @@
                 attempt.connection().abort();
                 failed(AttemptOutcome.BROKEN, "success without a signature");
             }
-            case REPLACE -> drop(AttemptOutcome.FAILED, "failed with " + facts.status());
+            case RETRY_OR_FAIL -> drop(AttemptOutcome.FAILED, "failed with " + facts.status());
             default -> throw new IllegalStateException("unknown verdict");
         }
     }
