--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
@@ -49,7 +49,7 @@
      * @param head its head
      * @param progress the request's progress, this attempt counted as one that may have run
      */
-    public static Verdict classify(Head head, AttemptRules.Progress progress) {
+    public static Verdict classify(Head head, RetryPolicy.Progress progress) {
         if (head.misdirected()) {
             return Verdict.MISDIRECTED;
         }
@@ -62,7 +62,7 @@
         boolean failure = head.status() >= FIRST_SERVER_ERROR;
         boolean replaced = progress.answerBegan()
                 || PROMISES.contains(head.status())
-                || failure && AttemptRules.mayRetry(progress, AttemptOutcome.FAILED);
+                || failure && RetryPolicy.mayRetry(progress, AttemptOutcome.FAILED);
         return replaced ? Verdict.RETRY_OR_FAIL : Verdict.FORWARD;
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/AttemptRules.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
@@ -9,7 +9,7 @@
  * it, or if nothing of it had left. And what callers are told of the end is true: "not run" is said only if no attempt
  * may have run.
  */
-public final class AttemptRules {
+public final class RetryPolicy {
     /**
      * Sends that end without a run, at most, for one request. A target that is full or gone says so in milliseconds;
      * more tries than a few mean that the whole service is, and each costs targets and the retry budget.
@@ -19,7 +19,7 @@
     /** Time left below which no further attempt is worth its cost, in ms: a round trip and the shortest answers. */
     public static final long WORTHWHILE_MILLIS = 30;
 
-    private AttemptRules() {}
+    private RetryPolicy() {}
 
     /**
      * What is known of a request when an attempt has failed.
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/AnswerRulesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/AnswerRulesTest.java
@@ -41,9 +41,9 @@
                 .isEqualTo(Verdict.RETRY_OR_FAIL);
     }
 
-    private static AttemptRules.Progress progress(RepeatRule repeat, boolean began) {
+    private static RetryPolicy.Progress progress(RepeatRule repeat, boolean began) {
         ServiceRoute route = new ServiceRoute(
                 "r", "h", "/", repeat, 1_000, 100, 0, 0, List.of(new WeightedService("s", 1)), 2, true);
-        return new AttemptRules.Progress(route, 1, 0, began, began, 900);
+        return new RetryPolicy.Progress(route, 1, 0, began, began, 900);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/AttemptRulesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/AttemptRulesTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.rattanrudder.core.gateway.AttemptRules.Progress;
+import org.rattanrudder.core.gateway.RetryPolicy.Progress;
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.RunState;
 
@@ -27,10 +27,10 @@
 
         boolean mayHaveRun = outcome.mayHaveRun() || runs > 0;
         if (mayHaveRun && !repeat.repeatable()) {
-            assertThat(AttemptRules.mayRetry(progress, outcome)).isFalse();
+            assertThat(RetryPolicy.mayRetry(progress, outcome)).isFalse();
         }
         if (began) {
-            assertThat(AttemptRules.mayRetry(progress, outcome)).isFalse();
+            assertThat(RetryPolicy.mayRetry(progress, outcome)).isFalse();
         }
     }
 
@@ -38,7 +38,7 @@
     @Property
     void notRunIsSaidOnlyIfNothingMayHaveRun(@ForAll AttemptOutcome outcome, @ForAll @IntRange(max = 3) int before) {
         int runs = before + (outcome.mayHaveRun() ? 1 : 0);
-        ErrorKind error = AttemptRules.finalError(runs, outcome);
+        ErrorKind error = RetryPolicy.finalError(runs, outcome);
 
         assertThat(error.runState() == RunState.NOT_RUN).isEqualTo(runs == 0);
     }
@@ -60,7 +60,7 @@
             RepeatRule repeat, int attempts, int runs, int unrun, AttemptOutcome outcome, boolean expected) {
         Progress progress = new Progress(route(repeat, attempts), runs, unrun, false, false, 1_000);
 
-        assertThat(AttemptRules.mayRetry(progress, outcome)).isEqualTo(expected);
+        assertThat(RetryPolicy.mayRetry(progress, outcome)).isEqualTo(expected);
     }
 
     private static ServiceRoute route(RepeatRule repeat, int attempts) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -20,8 +20,8 @@
 import org.rattanrudder.core.fleet.SendWindow;
 import org.rattanrudder.core.fleet.Target;
 import org.rattanrudder.core.gateway.AttemptOutcome;
-import org.rattanrudder.core.gateway.AttemptRules;
 import org.rattanrudder.core.gateway.ResponseClassifier;
+import org.rattanrudder.core.gateway.RetryPolicy;
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.daemon.relay.port.AnswerFacts;
 
@@ -218,7 +218,7 @@
 
     /** The target has been silent for too long: another one is tried if that is allowed. */
     private void silent(long quietMillis) {
-        if (AttemptRules.mayRetry(progress(1), AttemptOutcome.SILENT) && state.tryRepeat(plan.service())) {
+        if (RetryPolicy.mayRetry(progress(1), AttemptOutcome.SILENT) && state.tryRepeat(plan.service())) {
             attempt.connection().abort();
             closeAttempt(AttemptOutcome.SILENT, "silent for " + quietMillis + " ms");
             runs++;
@@ -226,8 +226,8 @@
         }
     }
 
-    private AttemptRules.Progress progress(int running) {
-        return new AttemptRules.Progress(
+    private RetryPolicy.Progress progress(int running) {
+        return new RetryPolicy.Progress(
                 plan.route(), runs + running, unrunSends, answer.began(), answer.isResumable(), plan.left());
     }
 
@@ -333,13 +333,13 @@
             unrunSends++;
         }
         boolean useful = outcome != AttemptOutcome.REJECTED || isAnotherLeft();
-        boolean allowed = useful && AttemptRules.mayRetry(progress(0), outcome) && !quarantine.mayHaveBeenLast(outcome);
+        boolean allowed = useful && RetryPolicy.mayRetry(progress(0), outcome) && !quarantine.mayHaveBeenLast(outcome);
         if (allowed && (!counted || state.tryRepeat(plan.service()))) {
             place();
         } else if (answer.began()) {
             breakOff(reason);
         } else {
-            end(AttemptRules.finalError(runs, outcome), reason);
+            end(RetryPolicy.finalError(runs, outcome), reason);
         }
     }
 
