--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
@@ -14,7 +14,7 @@
      * Sends that end without a run, at most, for one request. A target that is full or gone says so in milliseconds;
      * more tries than a few mean that the whole service is, and each costs targets and the retry budget.
      */
-    public static final int MAXIMUM_UNRUN_SENDS = 4;
+    public static final int MAX_UNEXECUTED_SENDS = 4;
 
     /** Time left below which no further attempt is worth its cost, in ms: a round trip and the shortest answers. */
     public static final long WORTHWHILE_MILLIS = 30;
@@ -48,7 +48,7 @@
         if (outcome.mayHaveRun() || progress.runs() > 0) {
             return progress.route().repeat().repeatable();
         }
-        return progress.unrunSends() < MAXIMUM_UNRUN_SENDS;
+        return progress.unrunSends() < MAX_UNEXECUTED_SENDS;
     }
 
     /**
