--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
@@ -17,7 +17,7 @@
     public static final int MAX_UNEXECUTED_SENDS = 4;
 
     /** Time left below which no further attempt is worth its cost, in ms: a round trip and the shortest answers. */
-    public static final long WORTHWHILE_MILLIS = 30;
+    public static final long MIN_RETRY_MILLIS = 30;
 
     private RetryPolicy() {}
 
@@ -36,7 +36,7 @@
 
     /** Returns whether the request may go to another target, if the retry budget has room. */
     public static boolean mayRetry(Progress progress, AttemptOutcome outcome) {
-        if (progress.leftMillis() < WORTHWHILE_MILLIS) {
+        if (progress.leftMillis() < MIN_RETRY_MILLIS) {
             return false;
         }
         if (progress.answerBegan() && !progress.resumable()) {
