--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
@@ -25,14 +25,19 @@
      * What is known of a request when an attempt has failed.
      *
      * @param route its route
-     * @param runs attempts that may have run, the failed one included
+     * @param possibleRuns attempts that may have run, the failed one included
      * @param unrunSends attempts that surely did not run, the failed one included
      * @param answerBegan whether something of an answer has gone to the caller
      * @param resumable whether what the caller has can be continued by another target
      * @param leftMillis the time until its deadline
      */
     public record Progress(
-            ServiceRoute route, int runs, int unrunSends, boolean answerBegan, boolean resumable, long leftMillis) {}
+            ServiceRoute route,
+            int possibleRuns,
+            int unrunSends,
+            boolean answerBegan,
+            boolean resumable,
+            long leftMillis) {}
 
     /** Returns whether the request may go to another target, if the retry budget has room. */
     public static boolean mayRetry(Progress progress, AttemptOutcome outcome) {
@@ -42,10 +47,10 @@
         if (progress.answerBegan() && !progress.resumable()) {
             return false;
         }
-        if (progress.runs() >= Math.max(1, progress.route().maximumAttempts())) {
+        if (progress.possibleRuns() >= Math.max(1, progress.route().maximumAttempts())) {
             return false;
         }
-        if (outcome.mayHaveRun() || progress.runs() > 0) {
+        if (outcome.mayHaveRun() || progress.possibleRuns() > 0) {
             return progress.route().repeat().repeatable();
         }
         return progress.unrunSends() < MAX_UNEXECUTED_SENDS;
