--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
@@ -26,7 +26,7 @@
      *
      * @param route its route
      * @param possibleRuns attempts that may have run, the failed one included
-     * @param unrunSends attempts that surely did not run, the failed one included
+     * @param unexecutedSends attempts that surely did not run, the failed one included
      * @param answerBegan whether something of an answer has gone to the caller
      * @param resumable whether what the caller has can be continued by another target
      * @param leftMillis the time until its deadline
@@ -34,7 +34,7 @@
     public record Progress(
             ServiceRoute route,
             int possibleRuns,
-            int unrunSends,
+            int unexecutedSends,
             boolean answerBegan,
             boolean resumable,
             long leftMillis) {}
@@ -53,7 +53,7 @@
         if (outcome.mayHaveRun() || progress.possibleRuns() > 0) {
             return progress.route().repeat().repeatable();
         }
-        return progress.unrunSends() < MAX_UNEXECUTED_SENDS;
+        return progress.unexecutedSends() < MAX_UNEXECUTED_SENDS;
     }
 
     /**
