--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
@@ -60,7 +60,7 @@
             return head.signed() ? Verdict.FORWARD : Verdict.INVALID_RESPONSE;
         }
         boolean failure = head.status() >= FIRST_SERVER_ERROR;
-        boolean replaced = progress.answerBegan()
+        boolean replaced = progress.responseStarted()
                 || PROMISES.contains(head.status())
                 || failure && RetryPolicy.mayRetry(progress, AttemptOutcome.FAILED);
         return replaced ? Verdict.RETRY_OR_FAIL : Verdict.FORWARD;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
@@ -27,7 +27,7 @@
      * @param route its route
      * @param possibleRuns attempts that may have run, the failed one included
      * @param unexecutedSends attempts that surely did not run, the failed one included
-     * @param answerBegan whether something of an answer has gone to the caller
+     * @param responseStarted whether something of an answer has gone to the caller
      * @param resumable whether what the caller has can be continued by another target
      * @param leftMillis the time until its deadline
      */
@@ -35,7 +35,7 @@
             ServiceRoute route,
             int possibleRuns,
             int unexecutedSends,
-            boolean answerBegan,
+            boolean responseStarted,
             boolean resumable,
             long leftMillis) {}
 
@@ -44,7 +44,7 @@
         if (progress.leftMillis() < MIN_RETRY_MILLIS) {
             return false;
         }
-        if (progress.answerBegan() && !progress.resumable()) {
+        if (progress.responseStarted() && !progress.resumable()) {
             return false;
         }
         if (progress.possibleRuns() >= Math.max(1, progress.route().maximumAttempts())) {
