--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
@@ -29,7 +29,7 @@
      * @param unexecutedSends attempts that surely did not run, the failed one included
      * @param responseStarted whether something of an answer has gone to the caller
      * @param resumable whether what the caller has can be continued by another target
-     * @param leftMillis the time until its deadline
+     * @param remainingMillis the time until its deadline
      */
     public record Progress(
             ServiceRoute route,
@@ -37,11 +37,11 @@
             int unexecutedSends,
             boolean responseStarted,
             boolean resumable,
-            long leftMillis) {}
+            long remainingMillis) {}
 
     /** Returns whether the request may go to another target, if the retry budget has room. */
     public static boolean mayRetry(Progress progress, AttemptOutcome outcome) {
-        if (progress.leftMillis() < MIN_RETRY_MILLIS) {
+        if (progress.remainingMillis() < MIN_RETRY_MILLIS) {
             return false;
         }
         if (progress.responseStarted() && !progress.resumable()) {
