--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/BackendService.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/BackendService.java
@@ -6,10 +6,10 @@
  * A service that requests can be routed to.
  *
  * @param name its name
- * @param maximumConnections connections that one of its targets takes, from all callers together
+ * @param maxConnections connections that one of its targets takes, from all callers together
  * @param engine present if its targets are model engines
  */
-public record BackendService(String name, int maximumConnections, Optional<EngineTraits> engine) {
+public record BackendService(String name, int maxConnections, Optional<EngineTraits> engine) {
     /**
      * Returns the connections that one relay may use at one of its targets. Targets reset what is beyond their bound,
      * and a request on such a connection may or may not have run; each relay therefore keeps to its part, and to one
@@ -18,6 +18,6 @@
      * @param relays how many relays are known, this one included
      */
     public int connectionsPerRelay(int relays) {
-        return Math.max(1, maximumConnections / Math.max(1, relays));
+        return Math.max(1, maxConnections / Math.max(1, relays));
     }
 }
