--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
@@ -47,7 +47,7 @@
         if (progress.responseStarted() && !progress.resumable()) {
             return false;
         }
-        if (progress.possibleRuns() >= Math.max(1, progress.route().maximumAttempts())) {
+        if (progress.possibleRuns() >= Math.max(1, progress.route().maxAttempts())) {
             return false;
         }
         if (outcome.mayHaveRun() || progress.possibleRuns() > 0) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServiceRoute.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServiceRoute.java
@@ -15,7 +15,7 @@
  * @param pauseMillis the longest pause between events of a stream that is still on time; 0 for other routes
  * @param priority the rank of its requests, 0 first
  * @param services the services that share its requests, at least one
- * @param maximumAttempts to how many targets one request may be sent
+ * @param maxAttempts to how many targets one request may be sent
  * @param open whether no credential is asked for
  */
 public record ServiceRoute(
@@ -28,7 +28,7 @@
         long pauseMillis,
         int priority,
         List<WeightedService> services,
-        int maximumAttempts,
+        int maxAttempts,
         boolean open) {
     /** Takes a copy of the services. */
     public ServiceRoute {
