--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/Patience.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/Patience.java
@@ -49,7 +49,7 @@
         if (!route.repeat().stream()) {
             return (long) (route.objectiveMillis() * PLAIN);
         }
-        return (long) (answerBegan ? route.pauseMillis() * PAUSE : route.objectiveMillis() * FIRST_EVENT);
+        return (long) (answerBegan ? route.maxPauseMillis() * PAUSE : route.objectiveMillis() * FIRST_EVENT);
     }
 
     /**
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServiceRoute.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServiceRoute.java
@@ -12,7 +12,7 @@
  * @param repeat whether a request may run again
  * @param timeoutMillis the longest that a request is kept waiting
  * @param objectiveMillis the latency objective: to the whole answer, or to the first event of a stream
- * @param pauseMillis the longest pause between events of a stream that is still on time; 0 for other routes
+ * @param maxPauseMillis the longest pause between events of a stream that is still on time; 0 for other routes
  * @param priority the rank of its requests, 0 first
  * @param services the services that share its requests, at least one
  * @param maxAttempts to how many targets one request may be sent
@@ -25,7 +25,7 @@
         RepeatRule repeat,
         long timeoutMillis,
         long objectiveMillis,
-        long pauseMillis,
+        long maxPauseMillis,
         int priority,
         List<WeightedService> services,
         int maxAttempts,
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
@@ -139,7 +139,7 @@
                         attempt.map(sent -> Long.toString(sent.longestPauseMillis()))
                                 .orElse("none"),
                         "pause_objective_ms",
-                        Long.toString(plan.route().pauseMillis()),
+                        Long.toString(plan.route().maxPauseMillis()),
                         "tokens",
                         Integer.toString(plan.tokens()),
                         "unread",
