--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServiceRoute.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServiceRoute.java
@@ -16,7 +16,7 @@
  * @param priority the rank of its requests, 0 first
  * @param services the services that share its requests, at least one
  * @param maxAttempts to how many targets one request may be sent
- * @param open whether no credential is asked for
+ * @param publicAccess whether no credential is asked for
  */
 public record ServiceRoute(
         String name,
@@ -29,7 +29,7 @@
         int priority,
         List<WeightedService> services,
         int maxAttempts,
-        boolean open) {
+        boolean publicAccess) {
     /** Takes a copy of the services. */
     public ServiceRoute {
         services = List.copyOf(services);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServingConfiguration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServingConfiguration.java
@@ -64,7 +64,7 @@
             return new Admittance.Denied(ErrorKind.UNKNOWN_PATH);
         }
         Optional<CustomerIdentity> customer = credential.flatMap(key -> customers.map(known -> known.get(key)));
-        boolean needed = customers.isPresent() && !route.get().open();
+        boolean needed = customers.isPresent() && !route.get().publicAccess();
         if (needed && customer.isEmpty()) {
             return new Admittance.Denied(ErrorKind.UNAUTHENTICATED);
         }
