--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayChannels.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayChannels.java
@@ -93,7 +93,7 @@
                 channel.pipeline()
                         .addLast(
                                 new RawBytes(connection),
-                                new StrictRequestDecoder(state.limits().headerBytes() * HEAD_SLACK),
+                                new StrictRequestDecoder(state.limits().maxHeaderBytes() * HEAD_SLACK),
                                 new HttpResponseEncoder(),
                                 connection);
             }
