--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -179,7 +179,7 @@
             return;
         }
         if (body.readableBytes() + (long) content.content().readableBytes()
-                > state.limits().bodyBytes()) {
+                > state.limits().maxBodyBytes()) {
             refuseUnread(ErrorKind.BODY_TOO_LARGE);
             return;
         }
