--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -344,7 +344,7 @@
         }
         if (head != null || partialHeadSince >= 0) {
             boolean slowHead = head == null
-                    && nowMillis - partialHeadSince > state.limits().headerMillis();
+                    && nowMillis - partialHeadSince > state.limits().headerTimeoutMillis();
             boolean slowBody =
                     head != null && nowMillis - lastReadAt > state.limits().idleMillis();
             if (slowHead || slowBody) {
