--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/CallerLimits.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/CallerLimits.java
@@ -6,9 +6,9 @@
  * @param maxHeaderBytes the largest head of a request
  * @param maxBodyBytes the largest body of a request
  * @param headerTimeoutMillis the longest from the first byte of a head to its last
- * @param idleMillis how long a connection may stay without a request
+ * @param idleTimeoutMillis how long a connection may stay without a request
  */
-public record CallerLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMillis, long idleMillis) {
+public record CallerLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
     /** What holds before a configuration is known: wide, since callers within the true limits must not be refused. */
     public static final CallerLimits UNKNOWN = new CallerLimits(65_536, 16L * 1024 * 1024, 10_000, 60_000);
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -329,7 +329,7 @@
                 socket.shutdownOutput();
                 closeAfter(LINGER_MILLIS);
             });
-            closeAfter(Math.max(LINGER_MILLIS, state.limits().idleMillis()));
+            closeAfter(Math.max(LINGER_MILLIS, state.limits().idleTimeoutMillis()));
         }
     }
 
@@ -346,13 +346,13 @@
             boolean slowHead = head == null
                     && nowMillis - partialHeadSince > state.limits().headerTimeoutMillis();
             boolean slowBody =
-                    head != null && nowMillis - lastReadAt > state.limits().idleMillis();
+                    head != null && nowMillis - lastReadAt > state.limits().idleTimeoutMillis();
             if (slowHead || slowBody) {
                 refuseUnread(ErrorKind.REQUEST_TIMEOUT);
             }
             return;
         }
-        if (closeIdle || nowMillis - lastReadAt > state.limits().idleMillis()) {
+        if (closeIdle || nowMillis - lastReadAt > state.limits().idleTimeoutMillis()) {
             closing = true;
             context.close();
         }
