--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/CallerLimits.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/CallerLimits.java
@@ -10,5 +10,5 @@
  */
 public record CallerLimits(int maxHeaderBytes, long maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
     /** What holds before a configuration is known: wide, since callers within the true limits must not be refused. */
-    public static final CallerLimits UNKNOWN = new CallerLimits(65_536, 16L * 1024 * 1024, 10_000, 60_000);
+    public static final CallerLimits BEFORE_CONFIGURATION = new CallerLimits(65_536, 16L * 1024 * 1024, 10_000, 60_000);
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/ServingConfigurationTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/ServingConfigurationTest.java
@@ -17,7 +17,7 @@
             new RouteTable(List.of(route("closed", "/closed/", false), route("open", "/open/", true))),
             Map.of(),
             List.of(),
-            CallerLimits.UNKNOWN,
+            CallerLimits.BEFORE_CONFIGURATION,
             Optional.of(Map.of("secret", DEPOT)));
 
     @ParameterizedTest
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -181,7 +181,7 @@
     }
 
     CallerLimits limits() {
-        return configuration.map(ServingConfiguration::limits).orElse(CallerLimits.UNKNOWN);
+        return configuration.map(ServingConfiguration::limits).orElse(CallerLimits.BEFORE_CONFIGURATION);
     }
 
     /** Returns the versions of weights that were named. */
