--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/EngineTraits.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/EngineTraits.java
@@ -5,7 +5,7 @@
  *
  * @param slots requests that run at once in one engine
  * @param capacityTokens memory of one engine, in tokens
- * @param tokenBytes memory of a token, in bytes
+ * @param bytesPerToken memory of a token, in bytes
  * @param linkMbps the speed of an engine's link for cached context, in Mbit/s
  */
-public record EngineTraits(int slots, long capacityTokens, long tokenBytes, double linkMbps) {}
+public record EngineTraits(int slots, long capacityTokens, long bytesPerToken, double linkMbps) {}
