--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/LoopLag.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/EventLoopLag.java
@@ -9,7 +9,7 @@
  *
  * <p>Times are milliseconds of a steady clock.
  */
-public final class LoopLag {
+public final class EventLoopLag {
     /** A regular task that is this late shows that requests may have waited. */
     private static final long LATE_MILLIS = 250;
 
@@ -21,7 +21,7 @@
     private long lateUntil;
 
     /** Makes the state of a loop that starts now, with a regular task of the given period. */
-    public LoopLag(long nowMillis, long everyMillis) {
+    public EventLoopLag(long nowMillis, long everyMillis) {
         this.everyMillis = everyMillis;
         expectedAt = nowMillis + everyMillis;
         lateUntil = nowMillis + WORKED_OFF_MILLIS;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/LoopLagTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/LoopLagTest.java
@@ -6,7 +6,7 @@
 
 class LoopLagTest {
     private static final long START = 10_000;
-    private final LoopLag lag = new LoopLag(START, 500);
+    private final EventLoopLag lag = new EventLoopLag(START, 500);
 
     /**
      * A relay starts while clerks already wait in its queue. Some of them have given up, and their checks are sent on
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -12,7 +12,7 @@
 import org.rattanrudder.core.fleet.Fleet;
 import org.rattanrudder.core.fleet.HoldingQueue;
 import org.rattanrudder.core.gateway.CallerLimits;
-import org.rattanrudder.core.gateway.LoopLag;
+import org.rattanrudder.core.gateway.EventLoopLag;
 import org.rattanrudder.core.gateway.RetryAllowance;
 import org.rattanrudder.core.gateway.ServiceRoute;
 import org.rattanrudder.core.gateway.ServingConfiguration;
@@ -47,7 +47,7 @@
     private final Map<String, HoldingQueue<Exchange>> lines = new HashMap<>();
     private final Set<String> linesBeingDrained = new HashSet<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
-    private final LoopLag lag;
+    private final EventLoopLag lag;
     private final long relayHash;
     private final WorkNews workNews;
     private final FetchNews fetchNews = new FetchNews();
@@ -78,7 +78,7 @@
         relayHash = Hashing.of(settings.instance());
         workNews = new WorkNews(loop);
         crashes = new CrashWatch(loop);
-        lag = new LoopLag(now(), RelayProcess.SWEEP_MILLIS);
+        lag = new EventLoopLag(now(), RelayProcess.SWEEP_MILLIS);
     }
 
     /** Returns milliseconds of a steady clock. */
@@ -87,7 +87,7 @@
     }
 
     /** Returns whether the event loop has lately run late. */
-    LoopLag lag() {
+    EventLoopLag lag() {
         return lag;
     }
 
