--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/EventLoopLag.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/EventLoopLag.java
@@ -28,7 +28,7 @@
     }
 
     /** Notes a run of the regular task. */
-    public void ran(long nowMillis) {
+    public void onTaskRun(long nowMillis) {
         if (nowMillis - expectedAt > LATE_MILLIS) {
             lateUntil = nowMillis + WORKED_OFF_MILLIS;
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/LoopLagTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/LoopLagTest.java
@@ -25,7 +25,7 @@
         run(START + 500, START + 4_000);
 
         assertThat(lag.isLate(START + 6_000)).isTrue();
-        lag.ran(START + 6_000);
+        lag.onTaskRun(START + 6_000);
         run(START + 6_500, START + 8_500);
         assertThat(lag.isLate(START + 8_600)).isTrue();
         run(START + 9_000, START + 9_500);
@@ -34,7 +34,7 @@
 
     private void run(long from, long to) {
         for (long now = from; now <= to; now += 500) {
-            lag.ran(now);
+            lag.onTaskRun(now);
         }
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -321,7 +321,7 @@
 
     private void sweep() {
         long now = state.now();
-        state.lag().ran(now);
+        state.lag().onTaskRun(now);
         boolean closeIdle = state.refusing();
         if (closeIdle && callersListening.isOpen()) {
             callersListening.close();
