--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/Patience.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseTimeouts.java
@@ -6,7 +6,7 @@
  * <p>Only requests that may be repeated are tried elsewhere. A target that serves others meanwhile isn't dead: the
  * request waits its turn there, and would have to wait again elsewhere.
  */
-public final class Patience {
+public final class ResponseTimeouts {
     /** Silence before a stream's first event, as a multiple of the objective. */
     private static final double FIRST_EVENT = 2.0;
 
@@ -28,7 +28,7 @@
     /** The least silence after which a target that can't be reached is given up, in ms. */
     private static final long GONE_MILLIS = 100;
 
-    private Patience() {}
+    private ResponseTimeouts() {}
 
     /**
      * Returns how long a target may be silent, in ms.
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/PatienceTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/PatienceTest.java
@@ -10,7 +10,7 @@
     @ParameterizedTest
     @CsvSource({"IDEMPOTENT, false, 360", "STREAM_RESUMABLE, false, 800", "STREAM_RESUMABLE, true, 750"})
     void silenceIsMeasuredByWhatIsOnTime(RepeatRule repeat, boolean began, long millis) {
-        assertThat(Patience.millis(route(repeat), began)).isEqualTo(millis);
+        assertThat(ResponseTimeouts.millis(route(repeat), began)).isEqualTo(millis);
     }
 
     /** Engines are busy; each check that is taken away from one after 800 ms is read anew by another, as busy. */
@@ -22,18 +22,20 @@
         "IDEMPOTENT, 400, true, false",
     })
     void aTargetThatServesOthersIsWaitedFor(RepeatRule repeat, long quiet, boolean servesOthers, boolean expected) {
-        assertThat(Patience.goesOn(route(repeat), false, quiet, servesOthers)).isEqualTo(expected);
+        assertThat(ResponseTimeouts.goesOn(route(repeat), false, quiet, servesOthers))
+                .isEqualTo(expected);
     }
 
     /** An engine's machine is gone; a check that could run elsewhere waited for it for twice its objective. */
     @ParameterizedTest
     @CsvSource({"IDEMPOTENT, false", "STREAM_RESUMABLE, false", "STREAM_RESUMABLE, true"})
     void aTargetThatCannotBeReachedIsGivenUpSooner(RepeatRule repeat, boolean began) {
-        long suspicious = Patience.suspiciousMillis(route(repeat), began);
+        long suspicious = ResponseTimeouts.suspiciousMillis(route(repeat), began);
 
-        assertThat(Patience.millis(route(repeat), began, true)).isLessThanOrEqualTo(suspicious);
-        assertThat(suspicious).isBetween(200L, Patience.millis(route(repeat), began, false));
-        assertThat(Patience.millis(route(repeat), began, false)).isEqualTo(Patience.millis(route(repeat), began));
+        assertThat(ResponseTimeouts.millis(route(repeat), began, true)).isLessThanOrEqualTo(suspicious);
+        assertThat(suspicious).isBetween(200L, ResponseTimeouts.millis(route(repeat), began, false));
+        assertThat(ResponseTimeouts.millis(route(repeat), began, false))
+                .isEqualTo(ResponseTimeouts.millis(route(repeat), began));
     }
 
     private static ServiceRoute route(RepeatRule repeat) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
@@ -1,7 +1,7 @@
 package org.rattanrudder.daemon.relay;
 
 import java.util.function.LongConsumer;
-import org.rattanrudder.core.gateway.Patience;
+import org.rattanrudder.core.gateway.ResponseTimeouts;
 import org.rattanrudder.core.gateway.ServiceRoute;
 
 /**
@@ -39,12 +39,12 @@
     void look() {
         long quiet = state.now() - attempt.lastPieceAt();
         boolean gone = attempt.target().isUnreachable();
-        long limit = Patience.millis(route, attempt.hasBegun(), gone);
+        long limit = ResponseTimeouts.millis(route, attempt.hasBegun(), gone);
         boolean servesOthers = attempt.target().lastActivityAt() > attempt.lastPieceAt();
         if (quiet >= limit && mayGoElsewhere(quiet, servesOthers)) {
             tooLong.accept(quiet);
         }
-        long suspicious = Patience.suspiciousMillis(route, attempt.hasBegun());
+        long suspicious = ResponseTimeouts.suspiciousMillis(route, attempt.hasBegun());
         if (!stopped && quiet >= suspicious && !servesOthers) {
             suspect.run();
         }
@@ -52,7 +52,7 @@
     }
 
     private boolean mayGoElsewhere(long quiet, boolean servesOthers) {
-        return route.repeat().repeatable() && !Patience.goesOn(route, attempt.hasBegun(), quiet, servesOthers);
+        return route.repeat().repeatable() && !ResponseTimeouts.goesOn(route, attempt.hasBegun(), quiet, servesOthers);
     }
 
     private void lookAfter(long millis) {
