--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseTimeouts.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseTimeouts.java
@@ -35,17 +35,17 @@
      *
      * @param gone whether no connection to it can be had any more
      */
-    public static long millis(ServiceRoute route, boolean answerBegan, boolean gone) {
-        return gone ? GONE_MILLIS : millis(route, answerBegan);
+    public static long timeoutMillis(ServiceRoute route, boolean answerBegan, boolean gone) {
+        return gone ? GONE_MILLIS : timeoutMillis(route, answerBegan);
     }
 
     /** Returns after which silence a target may be gone, in ms. */
     public static long suspiciousMillis(ServiceRoute route, boolean answerBegan) {
-        return Math.max(LEAST_SUSPICIOUS_MILLIS, (long) (millis(route, answerBegan) * SUSPICIOUS));
+        return Math.max(LEAST_SUSPICIOUS_MILLIS, (long) (timeoutMillis(route, answerBegan) * SUSPICIOUS));
     }
 
     /** Returns how long a target that can be reached may be silent, in ms. */
-    public static long millis(ServiceRoute route, boolean answerBegan) {
+    public static long timeoutMillis(ServiceRoute route, boolean answerBegan) {
         if (!route.repeat().stream()) {
             return (long) (route.objectiveMillis() * PLAIN);
         }
@@ -59,6 +59,6 @@
      * @param servesOthers whether something came from it for other requests meanwhile
      */
     public static boolean goesOn(ServiceRoute route, boolean answerBegan, long quietMillis, boolean servesOthers) {
-        return route.repeat().stream() && servesOthers && quietMillis < ALIVE * millis(route, answerBegan);
+        return route.repeat().stream() && servesOthers && quietMillis < ALIVE * timeoutMillis(route, answerBegan);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/PatienceTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/PatienceTest.java
@@ -10,7 +10,7 @@
     @ParameterizedTest
     @CsvSource({"IDEMPOTENT, false, 360", "STREAM_RESUMABLE, false, 800", "STREAM_RESUMABLE, true, 750"})
     void silenceIsMeasuredByWhatIsOnTime(RepeatRule repeat, boolean began, long millis) {
-        assertThat(ResponseTimeouts.millis(route(repeat), began)).isEqualTo(millis);
+        assertThat(ResponseTimeouts.timeoutMillis(route(repeat), began)).isEqualTo(millis);
     }
 
     /** Engines are busy; each check that is taken away from one after 800 ms is read anew by another, as busy. */
@@ -32,10 +32,10 @@
     void aTargetThatCannotBeReachedIsGivenUpSooner(RepeatRule repeat, boolean began) {
         long suspicious = ResponseTimeouts.suspiciousMillis(route(repeat), began);
 
-        assertThat(ResponseTimeouts.millis(route(repeat), began, true)).isLessThanOrEqualTo(suspicious);
-        assertThat(suspicious).isBetween(200L, ResponseTimeouts.millis(route(repeat), began, false));
-        assertThat(ResponseTimeouts.millis(route(repeat), began, false))
-                .isEqualTo(ResponseTimeouts.millis(route(repeat), began));
+        assertThat(ResponseTimeouts.timeoutMillis(route(repeat), began, true)).isLessThanOrEqualTo(suspicious);
+        assertThat(suspicious).isBetween(200L, ResponseTimeouts.timeoutMillis(route(repeat), began, false));
+        assertThat(ResponseTimeouts.timeoutMillis(route(repeat), began, false))
+                .isEqualTo(ResponseTimeouts.timeoutMillis(route(repeat), began));
     }
 
     private static ServiceRoute route(RepeatRule repeat) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
@@ -39,7 +39,7 @@
     void look() {
         long quiet = state.now() - attempt.lastPieceAt();
         boolean gone = attempt.target().isUnreachable();
-        long limit = ResponseTimeouts.millis(route, attempt.hasBegun(), gone);
+        long limit = ResponseTimeouts.timeoutMillis(route, attempt.hasBegun(), gone);
         boolean servesOthers = attempt.target().lastActivityAt() > attempt.lastPieceAt();
         if (quiet >= limit && mayGoElsewhere(quiet, servesOthers)) {
             tooLong.accept(quiet);
