--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseTimeouts.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseTimeouts.java
@@ -40,7 +40,7 @@
     }
 
     /** Returns after which silence a target may be gone, in ms. */
-    public static long suspiciousMillis(ServiceRoute route, boolean answerBegan) {
+    public static long probeAfterMillis(ServiceRoute route, boolean answerBegan) {
         return Math.max(LEAST_SUSPICIOUS_MILLIS, (long) (timeoutMillis(route, answerBegan) * SUSPICIOUS));
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/PatienceTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/PatienceTest.java
@@ -30,7 +30,7 @@
     @ParameterizedTest
     @CsvSource({"IDEMPOTENT, false", "STREAM_RESUMABLE, false", "STREAM_RESUMABLE, true"})
     void aTargetThatCannotBeReachedIsGivenUpSooner(RepeatRule repeat, boolean began) {
-        long suspicious = ResponseTimeouts.suspiciousMillis(route(repeat), began);
+        long suspicious = ResponseTimeouts.probeAfterMillis(route(repeat), began);
 
         assertThat(ResponseTimeouts.timeoutMillis(route(repeat), began, true)).isLessThanOrEqualTo(suspicious);
         assertThat(suspicious).isBetween(200L, ResponseTimeouts.timeoutMillis(route(repeat), began, false));
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
@@ -44,7 +44,7 @@
         if (quiet >= limit && mayGoElsewhere(quiet, servesOthers)) {
             tooLong.accept(quiet);
         }
-        long suspicious = ResponseTimeouts.suspiciousMillis(route, attempt.hasBegun());
+        long suspicious = ResponseTimeouts.probeAfterMillis(route, attempt.hasBegun());
         if (!stopped && quiet >= suspicious && !servesOthers) {
             suspect.run();
         }
