--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseTimeouts.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseTimeouts.java
@@ -58,7 +58,8 @@
      * @param quietMillis how long it was silent for this request
      * @param servesOthers whether something came from it for other requests meanwhile
      */
-    public static boolean goesOn(ServiceRoute route, boolean answerBegan, long quietMillis, boolean servesOthers) {
+    public static boolean keepsWaiting(
+            ServiceRoute route, boolean answerBegan, long quietMillis, boolean servesOthers) {
         return route.repeat().stream() && servesOthers && quietMillis < ALIVE * timeoutMillis(route, answerBegan);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/PatienceTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/PatienceTest.java
@@ -22,7 +22,7 @@
         "IDEMPOTENT, 400, true, false",
     })
     void aTargetThatServesOthersIsWaitedFor(RepeatRule repeat, long quiet, boolean servesOthers, boolean expected) {
-        assertThat(ResponseTimeouts.goesOn(route(repeat), false, quiet, servesOthers))
+        assertThat(ResponseTimeouts.keepsWaiting(route(repeat), false, quiet, servesOthers))
                 .isEqualTo(expected);
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
@@ -52,7 +52,8 @@
     }
 
     private boolean mayGoElsewhere(long quiet, boolean servesOthers) {
-        return route.repeat().repeatable() && !ResponseTimeouts.goesOn(route, attempt.hasBegun(), quiet, servesOthers);
+        return route.repeat().repeatable()
+                && !ResponseTimeouts.keepsWaiting(route, attempt.hasBegun(), quiet, servesOthers);
     }
 
     private void lookAfter(long millis) {
