--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RequestFacts.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RequestMetadata.java
@@ -17,7 +17,7 @@
  * @param outputTokens the most tokens that it wants; 0 if unknown
  * @param lastEventId the event after which a stream goes on; empty from the start
  */
-public record RequestFacts(
+public record RequestMetadata(
         String id,
         String host,
         OptionalLong deadlineMillis,
@@ -28,7 +28,7 @@
         int outputTokens,
         Optional<String> lastEventId) {
     /** Takes a copy of the parts. */
-    public RequestFacts {
+    public RequestMetadata {
         parts = List.copyOf(parts);
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -24,7 +24,7 @@
 import java.util.Deque;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import org.rattanrudder.core.gateway.RequestFacts;
+import org.rattanrudder.core.gateway.RequestMetadata;
 import org.rattanrudder.core.gateway.ServingConfiguration.Admittance;
 import org.rattanrudder.core.model.ErrorKind;
 
@@ -51,7 +51,7 @@
     private ChannelHandlerContext context;
     private AnswerWriter answers;
     private HttpRequest head;
-    private RequestFacts facts;
+    private RequestMetadata facts;
     private Admittance admittance;
     private ErrorKind problem;
     private ByteBuf body;
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -12,7 +12,7 @@
 import org.rattanrudder.core.gateway.BackendService;
 import org.rattanrudder.core.gateway.CustomerIdentity;
 import org.rattanrudder.core.gateway.EngineTraits;
-import org.rattanrudder.core.gateway.RequestFacts;
+import org.rattanrudder.core.gateway.RequestMetadata;
 import org.rattanrudder.core.gateway.ServiceRoute;
 import org.rattanrudder.core.gateway.ServingConfiguration.Admittance;
 import org.rattanrudder.core.parts.PartKey;
@@ -44,7 +44,7 @@
     private static final double PLAIN_BASE_MILLIS = 150;
 
     private final RelayState state;
-    private final RequestFacts facts;
+    private final RequestMetadata facts;
     private final ServiceRoute route;
     private final Optional<CustomerIdentity> customer;
     private final String service;
@@ -54,7 +54,7 @@
     private final long deadlineAt;
     private final long contextHash;
 
-    RequestPlan(RelayState state, RequestFacts facts, Admittance.Granted granted, long arrivedAt) {
+    RequestPlan(RelayState state, RequestMetadata facts, Admittance.Granted granted, long arrivedAt) {
         this.state = state;
         this.facts = facts;
         this.arrivedAt = arrivedAt;
@@ -89,7 +89,7 @@
         return facts.id();
     }
 
-    RequestFacts facts() {
+    RequestMetadata facts() {
         return facts;
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RequestDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RequestDialect.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
-import org.rattanrudder.core.gateway.RequestFacts;
+import org.rattanrudder.core.gateway.RequestMetadata;
 
 /** Translates requests and answers. */
 public interface RequestDialect {
@@ -12,7 +12,7 @@
      *
      * @throws IllegalArgumentException if a value can't be read
      */
-    RequestFacts read(HttpRequest request);
+    RequestMetadata read(HttpRequest request);
 
     /** Returns the headers of a request as a target gets them, without those that frame its body. */
     HttpHeaders forTarget(HttpHeaders fromCaller, Forwarding forwarding);
