--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RequestMetadata.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RequestMetadata.java
@@ -14,7 +14,7 @@
  * @param model the model that it asks for; empty for plain services
  * @param parts its prompt in order, the last one its own
  * @param promptTokens the prompt's length; 0 if unknown
- * @param outputTokens the most tokens that it wants; 0 if unknown
+ * @param maxOutputTokens the most tokens that it wants; 0 if unknown
  * @param lastEventId the event after which a stream goes on; empty from the start
  */
 public record RequestMetadata(
@@ -25,7 +25,7 @@
         Optional<String> model,
         List<PromptPart> parts,
         int promptTokens,
-        int outputTokens,
+        int maxOutputTokens,
         Optional<String> lastEventId) {
     /** Takes a copy of the parts. */
     public RequestMetadata {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -125,7 +125,7 @@
 
     /** Returns the memory that it takes over its run, in tokens: its prompt, and half of its output on average. */
     int tokens() {
-        return facts.promptTokens() + facts.outputTokens() / 2;
+        return facts.promptTokens() + facts.maxOutputTokens() / 2;
     }
 
     /** Returns the work that it is for a target as far as is known before it is sent. */
