--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryAllowance.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/WindowedRetryBudget.java
@@ -11,7 +11,7 @@
  * number of gateways that are known, or by a least number if fewer are; a share that nobody uses is lost, which keeps
  * the sum true while a few gateways can't hear each other.
  */
-public final class RetryAllowance {
+public final class WindowedRetryBudget {
     /** The least number of gateways that the repeats on top are divided by: those that are known may be fewer. */
     static final int LEAST_GATEWAYS = 16;
 
@@ -28,7 +28,7 @@
      * @param extra repeats on top of it in each window, for all gateways together
      * @param windowMillis the length of a window
      */
-    public RetryAllowance(double ratio, double extra, long windowMillis) {
+    public WindowedRetryBudget(double ratio, double extra, long windowMillis) {
         this.ratio = ratio;
         this.extra = extra;
         this.windowMillis = windowMillis;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/RetryAllowanceTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/RetryAllowanceTest.java
@@ -21,7 +21,8 @@
     @Property
     void repeatsStayWithinTheAllowanceInEachWindow(
             @ForAll @Size(max = 200) List<@IntRange(min = -1, max = 900) Integer> steps) {
-        RetryAllowance allowance = new RetryAllowance(RATIO, EXTRA * RetryAllowance.LEAST_GATEWAYS, WINDOW);
+        WindowedRetryBudget allowance =
+                new WindowedRetryBudget(RATIO, EXTRA * WindowedRetryBudget.LEAST_GATEWAYS, WINDOW);
         List<Long> requests = new ArrayList<>();
         List<Long> repeats = new ArrayList<>();
         long now = 0;
@@ -53,7 +54,7 @@
         int extra = 94;
         int taken = 0;
         for (int relay = 0; relay < relays; relay++) {
-            RetryAllowance allowance = new RetryAllowance(RATIO, extra, WINDOW);
+            WindowedRetryBudget allowance = new WindowedRetryBudget(RATIO, extra, WINDOW);
             while (allowance.tryRepeat(relays, 0)) {
                 taken++;
             }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -13,10 +13,10 @@
 import org.rattanrudder.core.fleet.HoldingQueue;
 import org.rattanrudder.core.gateway.CallerLimits;
 import org.rattanrudder.core.gateway.EventLoopLag;
-import org.rattanrudder.core.gateway.RetryAllowance;
 import org.rattanrudder.core.gateway.ServiceRoute;
 import org.rattanrudder.core.gateway.ServingConfiguration;
 import org.rattanrudder.core.gateway.StopRules;
+import org.rattanrudder.core.gateway.WindowedRetryBudget;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.PartDirectory;
 import org.rattanrudder.core.quarantine.Quarantine;
@@ -42,7 +42,7 @@
     private final RandomGenerator random;
     private final Fleet fleet = new Fleet();
     private final PartDirectory directory;
-    private final Map<String, RetryAllowance> allowances = new HashMap<>();
+    private final Map<String, WindowedRetryBudget> allowances = new HashMap<>();
     private final DesiredVersions weights = new DesiredVersions();
     private final Map<String, HoldingQueue<Exchange>> lines = new HashMap<>();
     private final Set<String> linesBeingDrained = new HashSet<>();
@@ -227,10 +227,10 @@
         return allowance(service).tryRepeat(relays(now), now);
     }
 
-    RetryAllowance allowance(String service) {
+    WindowedRetryBudget allowance(String service) {
         return allowances.computeIfAbsent(
                 service,
-                unseen -> new RetryAllowance(
+                unseen -> new WindowedRetryBudget(
                         settings.bounds().retryRatio() * RATIO_USED,
                         settings.bounds().retryExtra(),
                         settings.bounds().retryWindowMillis()));
