--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/WindowedRetryBudget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/WindowedRetryBudget.java
@@ -35,7 +35,7 @@
     }
 
     /** Changes what is allowed; what was sent in the window before counts on. */
-    public void bounds(double newRatio, double newExtra) {
+    public void update(double newRatio, double newExtra) {
         ratio = newRatio;
         extra = newExtra;
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -106,7 +106,7 @@
         RelaySettings.Bounds bounds = settings.bounds();
         allowances
                 .values()
-                .forEach(allowance -> allowance.bounds(bounds.retryRatio() * RATIO_USED, bounds.retryExtra()));
+                .forEach(allowance -> allowance.update(bounds.retryRatio() * RATIO_USED, bounds.retryExtra()));
     }
 
     /** Returns a hash of this relay's name, by which it orders engines that are about as busy. */
