--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/WindowedRetryBudget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/WindowedRetryBudget.java
@@ -41,7 +41,7 @@
     }
 
     /** Notes the first send of a request. */
-    public void request(long nowMillis) {
+    public void onRequest(long nowMillis) {
         forget(nowMillis);
         requests.addLast(nowMillis);
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/RetryAllowanceTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/RetryAllowanceTest.java
@@ -29,7 +29,7 @@
         for (int step : steps) {
             if (step < 0) {
                 requests.add(now);
-                allowance.request(now);
+                allowance.onRequest(now);
             } else {
                 now += step;
                 if (allowance.tryRepeat(FEW, now)) {
