--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/WindowedRetryBudget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/WindowedRetryBudget.java
@@ -51,7 +51,7 @@
      *
      * @param gateways how many gateways are known, this one included
      */
-    public boolean tryRepeat(int gateways, long nowMillis) {
+    public boolean tryAcquire(int gateways, long nowMillis) {
         forget(nowMillis);
         double share = extra / Math.max(LEAST_GATEWAYS, gateways);
         if (repeats.size() + 1 > ratio * requests.size() + share) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/RetryAllowanceTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/RetryAllowanceTest.java
@@ -32,7 +32,7 @@
                 allowance.onRequest(now);
             } else {
                 now += step;
-                if (allowance.tryRepeat(FEW, now)) {
+                if (allowance.tryAcquire(FEW, now)) {
                     repeats.add(now);
                 }
             }
@@ -55,7 +55,7 @@
         int taken = 0;
         for (int relay = 0; relay < relays; relay++) {
             WindowedRetryBudget allowance = new WindowedRetryBudget(RATIO, extra, WINDOW);
-            while (allowance.tryRepeat(relays, 0)) {
+            while (allowance.tryAcquire(relays, 0)) {
                 taken++;
             }
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -224,7 +224,7 @@
     /** Takes a further send of a service's request from the retry budget; false if none is left. */
     boolean tryRepeat(String service) {
         long now = now();
-        return allowance(service).tryRepeat(relays(now), now);
+        return allowance(service).tryAcquire(relays(now), now);
     }
 
     WindowedRetryBudget allowance(String service) {
