--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/WindowedRetryBudget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/WindowedRetryBudget.java
@@ -19,7 +19,7 @@
     private double extra;
     private final long windowMillis;
     private final Deque<Long> requests = new ArrayDeque<>();
-    private final Deque<Long> repeats = new ArrayDeque<>();
+    private final Deque<Long> retryCount = new ArrayDeque<>();
 
     /**
      * Makes an allowance.
@@ -54,22 +54,22 @@
     public boolean tryAcquire(int gateways, long nowMillis) {
         forget(nowMillis);
         double share = extra / Math.max(LEAST_GATEWAYS, gateways);
-        if (repeats.size() + 1 > ratio * requests.size() + share) {
+        if (retryCount.size() + 1 > ratio * requests.size() + share) {
             return false;
         }
-        repeats.addLast(nowMillis);
+        retryCount.addLast(nowMillis);
         return true;
     }
 
     /** Returns the repeats in the window that ends now. */
-    public int repeats(long nowMillis) {
+    public int retryCount(long nowMillis) {
         forget(nowMillis);
-        return repeats.size();
+        return retryCount.size();
     }
 
     private void forget(long nowMillis) {
         drop(requests, nowMillis);
-        drop(repeats, nowMillis);
+        drop(retryCount, nowMillis);
     }
 
     private void drop(Deque<Long> times, long nowMillis) {
