--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServingConfiguration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServingConfiguration.java
@@ -34,21 +34,21 @@
     }
 
     /** Whether a request may be served, and as whose. */
-    public sealed interface Admittance {
+    public sealed interface AccessDecision {
         /**
          * The request may be served.
          *
          * @param route its route
          * @param customer whose it is; empty on routes that ask for no credential
          */
-        record Granted(ServiceRoute route, Optional<CustomerIdentity> customer) implements Admittance {}
+        record Granted(ServiceRoute route, Optional<CustomerIdentity> customer) implements AccessDecision {}
 
         /**
          * The request may not be served.
          *
          * @param error why
          */
-        record Denied(ErrorKind error) implements Admittance {}
+        record Denied(ErrorKind error) implements AccessDecision {}
     }
 
     /**
@@ -58,16 +58,16 @@
      * @param target its path with or without a query
      * @param credential what it brings; empty if none
      */
-    public Admittance admit(String host, String target, Optional<String> credential) {
+    public AccessDecision admit(String host, String target, Optional<String> credential) {
         Optional<ServiceRoute> route = routes.find(host, target);
         if (route.isEmpty()) {
-            return new Admittance.Denied(ErrorKind.UNKNOWN_PATH);
+            return new AccessDecision.Denied(ErrorKind.UNKNOWN_PATH);
         }
         Optional<CustomerIdentity> customer = credential.flatMap(key -> customers.map(known -> known.get(key)));
         boolean needed = customers.isPresent() && !route.get().publicAccess();
         if (needed && customer.isEmpty()) {
-            return new Admittance.Denied(ErrorKind.UNAUTHENTICATED);
+            return new AccessDecision.Denied(ErrorKind.UNAUTHENTICATED);
         }
-        return new Admittance.Granted(route.get(), customer);
+        return new AccessDecision.Granted(route.get(), customer);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/ServingConfigurationTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/ServingConfigurationTest.java
@@ -8,7 +8,7 @@
 import java.util.OptionalInt;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.rattanrudder.core.gateway.ServingConfiguration.Admittance;
+import org.rattanrudder.core.gateway.ServingConfiguration.AccessDecision;
 
 class ServingConfigurationTest {
     private static final CustomerIdentity DEPOT = new CustomerIdentity("depot", OptionalInt.empty(), false);
@@ -30,11 +30,11 @@
         "/elsewhere, secret, UNKNOWN_PATH",
     })
     void aRequestIsAdmittedByItsRouteAndCredential(String path, String credential, String expected) {
-        Admittance admittance = CONFIGURATION.admit("h", path, Optional.ofNullable(credential));
+        AccessDecision admittance = CONFIGURATION.admit("h", path, Optional.ofNullable(credential));
 
-        String found = admittance instanceof Admittance.Granted granted
+        String found = admittance instanceof AccessDecision.Granted granted
                 ? ("granted " + granted.customer().map(CustomerIdentity::name).orElse("")).trim()
-                : ((Admittance.Denied) admittance).error().name();
+                : ((AccessDecision.Denied) admittance).error().name();
         assertThat(found).isEqualTo(expected);
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -25,7 +25,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.rattanrudder.core.gateway.RequestMetadata;
-import org.rattanrudder.core.gateway.ServingConfiguration.Admittance;
+import org.rattanrudder.core.gateway.ServingConfiguration.AccessDecision;
 import org.rattanrudder.core.model.ErrorKind;
 
 /**
@@ -52,7 +52,7 @@
     private AnswerWriter answers;
     private HttpRequest head;
     private RequestMetadata facts;
-    private Admittance admittance;
+    private AccessDecision admittance;
     private ErrorKind problem;
     private ByteBuf body;
     private Exchange exchange;
@@ -166,9 +166,9 @@
             return;
         }
         admittance = state.configuration().get().admit(facts.host(), head.uri(), facts.credential());
-        if (admittance instanceof Admittance.Denied denied) {
+        if (admittance instanceof AccessDecision.Denied denied) {
             problem = denied.error();
-        } else if (!state.takes(((Admittance.Granted) admittance).route())) {
+        } else if (!state.takes(((AccessDecision.Granted) admittance).route())) {
             problem = ErrorKind.DRAINING;
         }
     }
@@ -201,7 +201,7 @@
             nextRequest();
             return;
         }
-        RequestPlan plan = new RequestPlan(state, facts, (Admittance.Granted) admittance, arrivedAt);
+        RequestPlan plan = new RequestPlan(state, facts, (AccessDecision.Granted) admittance, arrivedAt);
         exchange = new Exchange(state, pools, this, head, body, plan);
         if (state.lag().isLate(state.now())) {
             startAfterATurn(exchange);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -14,7 +14,7 @@
 import org.rattanrudder.core.gateway.EngineTraits;
 import org.rattanrudder.core.gateway.RequestMetadata;
 import org.rattanrudder.core.gateway.ServiceRoute;
-import org.rattanrudder.core.gateway.ServingConfiguration.Admittance;
+import org.rattanrudder.core.gateway.ServingConfiguration.AccessDecision;
 import org.rattanrudder.core.parts.PartKey;
 import org.rattanrudder.core.parts.PartPlan;
 import org.rattanrudder.core.quarantine.RequestFingerprint;
@@ -54,7 +54,7 @@
     private final long deadlineAt;
     private final long contextHash;
 
-    RequestPlan(RelayState state, RequestMetadata facts, Admittance.Granted granted, long arrivedAt) {
+    RequestPlan(RelayState state, RequestMetadata facts, AccessDecision.Granted granted, long arrivedAt) {
         this.state = state;
         this.facts = facts;
         this.arrivedAt = arrivedAt;
