--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServingConfiguration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServingConfiguration.java
@@ -58,7 +58,7 @@
      * @param target its path with or without a query
      * @param credential what it brings; empty if none
      */
-    public AccessDecision admit(String host, String target, Optional<String> credential) {
+    public AccessDecision authorize(String host, String target, Optional<String> credential) {
         Optional<ServiceRoute> route = routes.find(host, target);
         if (route.isEmpty()) {
             return new AccessDecision.Denied(ErrorKind.UNKNOWN_PATH);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/ServingConfigurationTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/ServingConfigurationTest.java
@@ -30,7 +30,7 @@
         "/elsewhere, secret, UNKNOWN_PATH",
     })
     void aRequestIsAdmittedByItsRouteAndCredential(String path, String credential, String expected) {
-        AccessDecision admittance = CONFIGURATION.admit("h", path, Optional.ofNullable(credential));
+        AccessDecision admittance = CONFIGURATION.authorize("h", path, Optional.ofNullable(credential));
 
         String found = admittance instanceof AccessDecision.Granted granted
                 ? ("granted " + granted.customer().map(CustomerIdentity::name).orElse("")).trim()
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -165,7 +165,7 @@
             problem = ErrorKind.LOG_UNAVAILABLE;
             return;
         }
-        admittance = state.configuration().get().admit(facts.host(), head.uri(), facts.credential());
+        admittance = state.configuration().get().authorize(facts.host(), head.uri(), facts.credential());
         if (admittance instanceof AccessDecision.Denied denied) {
             problem = denied.error();
         } else if (!state.takes(((AccessDecision.Granted) admittance).route())) {
