--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/StopRules.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ShutdownPolicy.java
@@ -7,7 +7,7 @@
  * the latest. A stream may run for many seconds, so that one is taken only while callers can't yet know that they
  * should go elsewhere.
  */
-public final class StopRules {
+public final class ShutdownPolicy {
     /**
      * How long a gateway that was asked to stop stays ready while no other one is, in ms. Gateways that are restarted
      * in turn, faster than each needs to end its requests and come back, would else all be away at once: three of three
@@ -35,7 +35,7 @@
     private static final double CALLERS_LEAVE_PART = 0.325;
     private static final double END_MARGIN_PART = 0.1;
 
-    private StopRules() {}
+    private ShutdownPolicy() {}
 
     /** Returns how long a gateway stays ready while no other one is, in ms from the request to stop. */
     public static long stayMillis(long graceMillis) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/StopRulesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/StopRulesTest.java
@@ -27,7 +27,7 @@
         ServiceRoute route = new ServiceRoute(
                 "r", "h", "/", repeat, timeout, 400, 300, 0, List.of(new WeightedService("s", 1)), 2, true);
 
-        assertThat(StopRules.takes(route, since, 8_000)).isEqualTo(expected);
+        assertThat(ShutdownPolicy.takes(route, since, 8_000)).isEqualTo(expected);
     }
 
     /**
@@ -37,11 +37,11 @@
     @ParameterizedTest
     @ValueSource(longs = {1_000, 2_000, 3_000, 4_000, 8_000, 30_000})
     void whatIsTakenLastHasTimeToEnd(long grace) {
-        long lastTaken = StopRules.stayMillis(grace) + StopRules.callersLeaveMillis(grace);
-        long end = grace - StopRules.endMarginMillis(grace);
+        long lastTaken = ShutdownPolicy.stayMillis(grace) + ShutdownPolicy.callersLeaveMillis(grace);
+        long end = grace - ShutdownPolicy.endMarginMillis(grace);
 
         assertThat(end - lastTaken).isGreaterThanOrEqualTo(grace / 5);
-        assertThat(StopRules.endMarginMillis(grace)).isBetween(grace / 40, grace / 6);
+        assertThat(ShutdownPolicy.endMarginMillis(grace)).isBetween(grace / 40, grace / 6);
     }
 
     /** Long graces change nothing: callers need two seconds to find out, whatever the deployment. */
@@ -49,9 +49,9 @@
     @CsvSource({"8000, 1800, 2600, 800", "30000, 1800, 2600, 800"})
     void withTimeEnoughTheTimesAreThoseThatCallersNeed(long grace, long stay, long leave, long margin) {
         assertThat(List.of(
-                        StopRules.stayMillis(grace),
-                        StopRules.callersLeaveMillis(grace),
-                        StopRules.endMarginMillis(grace)))
+                        ShutdownPolicy.stayMillis(grace),
+                        ShutdownPolicy.callersLeaveMillis(grace),
+                        ShutdownPolicy.endMarginMillis(grace)))
                 .containsExactly(stay, leave, margin);
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -15,7 +15,7 @@
 import org.rattanrudder.core.gateway.EventLoopLag;
 import org.rattanrudder.core.gateway.ServiceRoute;
 import org.rattanrudder.core.gateway.ServingConfiguration;
-import org.rattanrudder.core.gateway.StopRules;
+import org.rattanrudder.core.gateway.ShutdownPolicy;
 import org.rattanrudder.core.gateway.WindowedRetryBudget;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.PartDirectory;
@@ -242,12 +242,12 @@
 
     /** Returns whether new requests are refused, since they might not end before the process does. */
     boolean refusing() {
-        return draining && now() - drainingSince > StopRules.callersLeaveMillis(graceMillis());
+        return draining && now() - drainingSince > ShutdownPolicy.callersLeaveMillis(graceMillis());
     }
 
     /** Returns whether a request on the route is still taken. */
     boolean takes(ServiceRoute route) {
-        return !stopping || StopRules.takes(route, now() - stoppingSince, graceMillis());
+        return !stopping || ShutdownPolicy.takes(route, now() - stoppingSince, graceMillis());
     }
 
     /** Returns whether the process was asked to stop. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import org.rattanrudder.core.gateway.StopRules;
+import org.rattanrudder.core.gateway.ShutdownPolicy;
 
 /**
  * The end of a relay that was asked to stop: it takes its readiness back, refuses what comes, and lets what runs end.
@@ -41,14 +41,14 @@
     /** Takes readiness back, unless no other relay is ready and there is time to wait for one. */
     private void leave() {
         long waited = state.now() - state.stoppingSince();
-        if (waited < StopRules.stayMillis(graceMillis()) && !state.fleet().anyPeerReady(state.now())) {
+        if (waited < ShutdownPolicy.stayMillis(graceMillis()) && !state.fleet().anyPeerReady(state.now())) {
             state.loop().schedule(this::leave, STAY_STEP_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
         state.drain();
         state.log().info("leaving", "after_ms", Long.toString(waited));
-        state.loop().schedule(sweep, StopRules.callersLeaveMillis(graceMillis()) + 1, TimeUnit.MILLISECONDS);
-        long untilEnd = graceMillis() - StopRules.endMarginMillis(graceMillis()) - waited;
+        state.loop().schedule(sweep, ShutdownPolicy.callersLeaveMillis(graceMillis()) + 1, TimeUnit.MILLISECONDS);
+        long untilEnd = graceMillis() - ShutdownPolicy.endMarginMillis(graceMillis()) - waited;
         state.loop().schedule(sweep, untilEnd + 1, TimeUnit.MILLISECONDS);
     }
 
@@ -60,7 +60,7 @@
         long since = now - state.stoppingSince();
         boolean busy = callers.stream().anyMatch(CallerConnection::isBusy);
         boolean quiet = state.refusing() && !busy;
-        boolean late = since > graceMillis() - StopRules.endMarginMillis(graceMillis());
+        boolean late = since > graceMillis() - ShutdownPolicy.endMarginMillis(graceMillis());
         if (quiet || late) {
             finishedInTime = !busy;
             // A caller that is told nothing waits for its own time limit, and can't know whether to come back.
