--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ShutdownPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ShutdownPolicy.java
@@ -38,7 +38,7 @@
     private ShutdownPolicy() {}
 
     /** Returns how long a gateway stays ready while no other one is, in ms from the request to stop. */
-    public static long stayMillis(long graceMillis) {
+    public static long readinessHoldMillis(long graceMillis) {
         return Math.min(STAY_MILLIS, (long) (graceMillis * STAY_PART));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
@@ -41,7 +41,8 @@
     /** Takes readiness back, unless no other relay is ready and there is time to wait for one. */
     private void leave() {
         long waited = state.now() - state.stoppingSince();
-        if (waited < ShutdownPolicy.stayMillis(graceMillis()) && !state.fleet().anyPeerReady(state.now())) {
+        if (waited < ShutdownPolicy.readinessHoldMillis(graceMillis())
+                && !state.fleet().anyPeerReady(state.now())) {
             state.loop().schedule(this::leave, STAY_STEP_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
