--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ShutdownPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ShutdownPolicy.java
@@ -43,7 +43,7 @@
     }
 
     /** Returns how long requests are taken because their callers can't know better, in ms. */
-    public static long callersLeaveMillis(long graceMillis) {
+    public static long callerDrainMillis(long graceMillis) {
         return Math.min(CALLERS_LEAVE_MILLIS, (long) (graceMillis * CALLERS_LEAVE_PART));
     }
 
@@ -61,7 +61,7 @@
      */
     public static boolean takes(ServiceRoute route, long sinceMillis, long graceMillis) {
         if (route.repeat().stream()) {
-            return sinceMillis <= callersLeaveMillis(graceMillis);
+            return sinceMillis <= callerDrainMillis(graceMillis);
         }
         return sinceMillis + route.timeoutMillis() <= graceMillis - endMarginMillis(graceMillis);
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/StopRulesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/StopRulesTest.java
@@ -37,7 +37,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1_000, 2_000, 3_000, 4_000, 8_000, 30_000})
     void whatIsTakenLastHasTimeToEnd(long grace) {
-        long lastTaken = ShutdownPolicy.readinessHoldMillis(grace) + ShutdownPolicy.callersLeaveMillis(grace);
+        long lastTaken = ShutdownPolicy.readinessHoldMillis(grace) + ShutdownPolicy.callerDrainMillis(grace);
         long end = grace - ShutdownPolicy.endMarginMillis(grace);
 
         assertThat(end - lastTaken).isGreaterThanOrEqualTo(grace / 5);
@@ -50,7 +50,7 @@
     void withTimeEnoughTheTimesAreThoseThatCallersNeed(long grace, long stay, long leave, long margin) {
         assertThat(List.of(
                         ShutdownPolicy.readinessHoldMillis(grace),
-                        ShutdownPolicy.callersLeaveMillis(grace),
+                        ShutdownPolicy.callerDrainMillis(grace),
                         ShutdownPolicy.endMarginMillis(grace)))
                 .containsExactly(stay, leave, margin);
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -242,7 +242,7 @@
 
     /** Returns whether new requests are refused, since they might not end before the process does. */
     boolean refusing() {
-        return draining && now() - drainingSince > ShutdownPolicy.callersLeaveMillis(graceMillis());
+        return draining && now() - drainingSince > ShutdownPolicy.callerDrainMillis(graceMillis());
     }
 
     /** Returns whether a request on the route is still taken. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
@@ -48,7 +48,7 @@
         }
         state.drain();
         state.log().info("leaving", "after_ms", Long.toString(waited));
-        state.loop().schedule(sweep, ShutdownPolicy.callersLeaveMillis(graceMillis()) + 1, TimeUnit.MILLISECONDS);
+        state.loop().schedule(sweep, ShutdownPolicy.callerDrainMillis(graceMillis()) + 1, TimeUnit.MILLISECONDS);
         long untilEnd = graceMillis() - ShutdownPolicy.endMarginMillis(graceMillis()) - waited;
         state.loop().schedule(sweep, untilEnd + 1, TimeUnit.MILLISECONDS);
     }
