--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ShutdownPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ShutdownPolicy.java
@@ -48,7 +48,7 @@
     }
 
     /** Returns how long before the forced end all must have ended, in ms. */
-    public static long endMarginMillis(long graceMillis) {
+    public static long exitMarginMillis(long graceMillis) {
         return Math.min(END_MARGIN_MILLIS, (long) (graceMillis * END_MARGIN_PART));
     }
 
@@ -63,6 +63,6 @@
         if (route.repeat().stream()) {
             return sinceMillis <= callerDrainMillis(graceMillis);
         }
-        return sinceMillis + route.timeoutMillis() <= graceMillis - endMarginMillis(graceMillis);
+        return sinceMillis + route.timeoutMillis() <= graceMillis - exitMarginMillis(graceMillis);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/StopRulesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/StopRulesTest.java
@@ -38,10 +38,10 @@
     @ValueSource(longs = {1_000, 2_000, 3_000, 4_000, 8_000, 30_000})
     void whatIsTakenLastHasTimeToEnd(long grace) {
         long lastTaken = ShutdownPolicy.readinessHoldMillis(grace) + ShutdownPolicy.callerDrainMillis(grace);
-        long end = grace - ShutdownPolicy.endMarginMillis(grace);
+        long end = grace - ShutdownPolicy.exitMarginMillis(grace);
 
         assertThat(end - lastTaken).isGreaterThanOrEqualTo(grace / 5);
-        assertThat(ShutdownPolicy.endMarginMillis(grace)).isBetween(grace / 40, grace / 6);
+        assertThat(ShutdownPolicy.exitMarginMillis(grace)).isBetween(grace / 40, grace / 6);
     }
 
     /** Long graces change nothing: callers need two seconds to find out, whatever the deployment. */
@@ -51,7 +51,7 @@
         assertThat(List.of(
                         ShutdownPolicy.readinessHoldMillis(grace),
                         ShutdownPolicy.callerDrainMillis(grace),
-                        ShutdownPolicy.endMarginMillis(grace)))
+                        ShutdownPolicy.exitMarginMillis(grace)))
                 .containsExactly(stay, leave, margin);
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
@@ -49,7 +49,7 @@
         state.drain();
         state.log().info("leaving", "after_ms", Long.toString(waited));
         state.loop().schedule(sweep, ShutdownPolicy.callerDrainMillis(graceMillis()) + 1, TimeUnit.MILLISECONDS);
-        long untilEnd = graceMillis() - ShutdownPolicy.endMarginMillis(graceMillis()) - waited;
+        long untilEnd = graceMillis() - ShutdownPolicy.exitMarginMillis(graceMillis()) - waited;
         state.loop().schedule(sweep, untilEnd + 1, TimeUnit.MILLISECONDS);
     }
 
@@ -61,7 +61,7 @@
         long since = now - state.stoppingSince();
         boolean busy = callers.stream().anyMatch(CallerConnection::isBusy);
         boolean quiet = state.refusing() && !busy;
-        boolean late = since > graceMillis() - ShutdownPolicy.endMarginMillis(graceMillis());
+        boolean late = since > graceMillis() - ShutdownPolicy.exitMarginMillis(graceMillis());
         if (quiet || late) {
             finishedInTime = !busy;
             // A caller that is told nothing waits for its own time limit, and can't know whether to come back.
