--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ShutdownPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ShutdownPolicy.java
@@ -59,7 +59,7 @@
      * @param sinceMillis how long ago the gateway was asked to stop
      * @param graceMillis from the request to stop until the process is ended by force
      */
-    public static boolean takes(ServiceRoute route, long sinceMillis, long graceMillis) {
+    public static boolean accepts(ServiceRoute route, long sinceMillis, long graceMillis) {
         if (route.repeat().stream()) {
             return sinceMillis <= callerDrainMillis(graceMillis);
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/StopRulesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/StopRulesTest.java
@@ -27,7 +27,7 @@
         ServiceRoute route = new ServiceRoute(
                 "r", "h", "/", repeat, timeout, 400, 300, 0, List.of(new WeightedService("s", 1)), 2, true);
 
-        assertThat(ShutdownPolicy.takes(route, since, 8_000)).isEqualTo(expected);
+        assertThat(ShutdownPolicy.accepts(route, since, 8_000)).isEqualTo(expected);
     }
 
     /**
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -247,7 +247,7 @@
 
     /** Returns whether a request on the route is still taken. */
     boolean takes(ServiceRoute route) {
-        return !stopping || ShutdownPolicy.takes(route, now() - stoppingSince, graceMillis());
+        return !stopping || ShutdownPolicy.accepts(route, now() - stoppingSince, graceMillis());
     }
 
     /** Returns whether the process was asked to stop. */
