--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEffect.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEffect.java
@@ -22,7 +22,7 @@
     record BeginAnswer(long sequence, int status, List<Header> headers) implements EntryEffect {}
 
     /**
-     * Send a part of the answer's body. The daemon says {@link EntryEvent.CallerTook} when the connection took it.
+     * Send a part of the answer's body. The daemon says {@link EntryEvent.ChunksWritten} when the connection took it.
      *
      * @param sequence the request
      * @param bytes the part
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEvent.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEvent.java
@@ -23,7 +23,7 @@
      * @param sequence the request
      * @param chunks how many
      */
-    record CallerTook(long sequence, int chunks) implements EntryEvent {}
+    record ChunksWritten(long sequence, int chunks) implements EntryEvent {}
 
     /**
      * The caller's connection is gone.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
@@ -104,7 +104,7 @@
             frame(arrived.companion(), arrived.frame(), nowMicros);
         } else if (event instanceof EntryEvent.RequestArrived arrived) {
             request(arrived, nowMicros);
-        } else if (event instanceof EntryEvent.CallerTook took) {
+        } else if (event instanceof EntryEvent.ChunksWritten took) {
             requests.bySequence(took.sequence())
                     .ifPresent(inFlight -> answers.callerTook(inFlight, took.chunks(), nowMicros));
         } else if (event instanceof EntryEvent.CallerGone gone) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/AnswerRelayTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/AnswerRelayTest.java
@@ -121,7 +121,7 @@
         }
         assertThat(driver.frames(Frame.Credit.class)).isEmpty();
 
-        driver.handle(new EntryEvent.CallerTook(request, 40));
+        driver.handle(new EntryEvent.ChunksWritten(request, 40));
 
         assertThat(driver.frames(Frame.Credit.class)).containsExactly(new Frame.Credit(dispatch.attempt(), 40));
     }
@@ -136,7 +136,7 @@
         driver.close(1);
         driver.open(1, 100);
 
-        driver.handle(new EntryEvent.CallerTook(request, 40));
+        driver.handle(new EntryEvent.ChunksWritten(request, 40));
 
         assertThat(driver.frames(Frame.Credit.class)).isEmpty();
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/Callers.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/Callers.java
@@ -35,7 +35,7 @@
 
     @Override
     public void took(long sequence, int chunks) {
-        publish.accept(new EntryEvent.CallerTook(sequence, chunks));
+        publish.accept(new EntryEvent.ChunksWritten(sequence, chunks));
     }
 
     @Override
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/entry/EntryHttpTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/entry/EntryHttpTest.java
@@ -231,10 +231,10 @@
             CallerExchange caller = chat(true);
             caller.begin(200, EVENT_STREAM);
             caller.send("data: {\"n\":1}\n\n".getBytes(StandardCharsets.UTF_8));
-            assertThat(next(EntryEvent.CallerTook.class).chunks()).isEqualTo(1);
+            assertThat(next(EntryEvent.ChunksWritten.class).chunks()).isEqualTo(1);
             caller.end();
             assertThat(readUntil("\r\n0\r\n\r\n")).contains("data: {\"n\":1}\n\n", "data: [DONE]\n\n");
-            next(EntryEvent.CallerTook.class);
+            next(EntryEvent.ChunksWritten.class);
         }
         assertThat(callers.count()).isZero();
     }
@@ -312,17 +312,17 @@
             caller.send(new byte[chunk]);
         }
         caller.end();
-        int taken = next(EntryEvent.CallerTook.class).chunks();
+        int taken = next(EntryEvent.ChunksWritten.class).chunks();
         Optional<EntryEvent> more = Optional.ofNullable(events.poll(300, TimeUnit.MILLISECONDS));
         while (more.isPresent()) {
-            taken += ((EntryEvent.CallerTook) more.get()).chunks();
+            taken += ((EntryEvent.ChunksWritten) more.get()).chunks();
             more = Optional.ofNullable(events.poll(300, TimeUnit.MILLISECONDS));
         }
         assertThat(taken).isLessThan(count / 2);
 
         assertThat(socket.getInputStream().skip((long) count * chunk)).isEqualTo((long) count * chunk);
         while (taken < count) {
-            taken += next(EntryEvent.CallerTook.class).chunks();
+            taken += next(EntryEvent.ChunksWritten.class).chunks();
         }
         assertThat(taken).isEqualTo(count);
     }
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/bench/CapacityBench.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/bench/CapacityBench.java
@@ -144,7 +144,7 @@
         take(machine, from, new Frame.AnswerHead(attempt, 200, List.of()), clock);
         for (int chunk = 0; chunk < CHUNKS; chunk++) {
             take(machine, from, new Frame.AnswerChunk(attempt, chunk, CHUNK), clock);
-            machine.handle(new EntryEvent.CallerTook(sequence, 1), clock.now, effect -> {});
+            machine.handle(new EntryEvent.ChunksWritten(sequence, 1), clock.now, effect -> {});
         }
         take(machine, from, new Frame.AnswerEnd(attempt, CHUNKS, Usage.NONE), clock);
     }
