--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEvent.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEvent.java
@@ -30,7 +30,7 @@
      *
      * @param sequence the request
      */
-    record CallerGone(long sequence) implements EntryEvent {}
+    record CallerDisconnected(long sequence) implements EntryEvent {}
 
     /**
      * A link to a companion is up and its hello has arrived.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
@@ -107,7 +107,7 @@
         } else if (event instanceof EntryEvent.ChunksWritten took) {
             requests.bySequence(took.sequence())
                     .ifPresent(inFlight -> answers.callerTook(inFlight, took.chunks(), nowMicros));
-        } else if (event instanceof EntryEvent.CallerGone gone) {
+        } else if (event instanceof EntryEvent.CallerDisconnected gone) {
             requests.bySequence(gone.sequence()).ifPresent(inFlight -> attempts.cancel(inFlight, nowMicros));
         } else if (event instanceof EntryEvent.Tick) {
             tick(nowMicros);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryChaos.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryChaos.java
@@ -90,7 +90,7 @@
             }
             case 2 -> leave(number);
             case 3 -> accepting[number] = !accepting[number];
-            default -> driver.handle(new EntryEvent.CallerGone(1 + random.nextInt(40)));
+            default -> driver.handle(new EntryEvent.CallerDisconnected(1 + random.nextInt(40)));
         }
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryMachineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryMachineTest.java
@@ -81,7 +81,7 @@
         EntryDriver driver = EntryDriver.ready(Documents.prompts(target(1)));
         long request = driver.prompt("sheet");
 
-        driver.handle(new EntryEvent.CallerGone(request));
+        driver.handle(new EntryEvent.CallerDisconnected(request));
 
         assertThat(driver.frames(Frame.Cancel.class))
                 .containsExactly(new Frame.Cancel(driver.lastDispatch().attempt()));
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/Callers.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/Callers.java
@@ -40,7 +40,7 @@
 
     @Override
     public void gone(long sequence) {
-        publish.accept(new EntryEvent.CallerGone(sequence));
+        publish.accept(new EntryEvent.CallerDisconnected(sequence));
     }
 
     @Override
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/entry/EntryHttpTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/entry/EntryHttpTest.java
@@ -218,7 +218,7 @@
         assertThat(readAll()).startsWith("HTTP/1.1 503").contains("\"kind\":\"overloaded\"", "Retry-After: 1");
 
         holder.close();
-        assertThat(next(EntryEvent.CallerGone.class).sequence()).isEqualTo(first);
+        assertThat(next(EntryEvent.CallerDisconnected.class).sequence()).isEqualTo(first);
         connect();
         send(large);
 
@@ -294,7 +294,7 @@
 
         socket.close();
 
-        assertThat(next(EntryEvent.CallerGone.class).sequence()).isEqualTo(1);
+        assertThat(next(EntryEvent.CallerDisconnected.class).sequence()).isEqualTo(1);
         connect();
     }
 
