--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEffect.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEffect.java
@@ -97,7 +97,7 @@
      * @param event a fixed word for it, such as {@code companion_lost}
      * @param fields key, value, key, value and so on
      */
-    record Note(String event, List<String> fields) implements EntryEffect {}
+    record LogEvent(String event, List<String> fields) implements EntryEffect {}
 
     /** Nothing runs any more and none will be taken: the process may end. */
     record Drained() implements EntryEffect {}
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Outbox.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Outbox.java
@@ -22,6 +22,6 @@
     }
 
     void note(String event, String... fields) {
-        emit(new EntryEffect.Note(event, List.of(fields)));
+        emit(new EntryEffect.LogEvent(event, List.of(fields)));
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryEffects.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryEffects.java
@@ -71,7 +71,7 @@
             appender.append(append.stream(), append.batch(), result -> settled(append, result));
         } else if (effect instanceof EntryEffect.ReplyToOperator reply) {
             operators.reply(reply.handle(), reply.reply());
-        } else if (effect instanceof EntryEffect.Note note) {
+        } else if (effect instanceof EntryEffect.LogEvent note) {
             log.write(ErrorKind.Severity.INFO, note.event(), note.fields());
         } else if (effect instanceof EntryEffect.Drained) {
             drained.run();
