--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEffect.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEffect.java
@@ -87,9 +87,10 @@
      * A request has ended: for logs, metrics and the burn report.
      *
      * @param summary what is worth knowing about it
-     * @param objective its request class, which says what counts as good; empty if it was refused before that was known
+     * @param requestClass its request class, which says what counts as good; empty if it was refused before that was
+     * known
      */
-    record RequestEnded(RequestSummary summary, Optional<RequestClass> objective) implements EntryEffect {}
+    record RequestEnded(RequestSummary summary, Optional<RequestClass> requestClass) implements EntryEffect {}
 
     /**
      * Something that an operator may want to see in the log.
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryEffects.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryEffects.java
@@ -88,7 +88,7 @@
 
     private void ended(EntryEffect.RequestEnded ended) {
         RequestSummary summary = ended.summary();
-        recorder.record(summary, ended.objective());
+        recorder.record(summary, ended.requestClass());
         List<String> fields = new ArrayList<>(List.of(
                 "request", summary.requestId(),
                 "service", summary.service(),
