--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/OperatorQueries.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/OperatorQueries.java
@@ -106,7 +106,7 @@
                 : new RoutingQuery(
                         terms.affinity(), terms.affinityKey(), terms.contextTokens(), service.costs(), Set.of());
         Optional<Route> chosen = policy.choose(query, service.pool(), nowMicros);
-        List<OperatorReply.Weighed> weighed = new ArrayList<>();
+        List<OperatorReply.Candidate> weighed = new ArrayList<>();
         for (RoutableTarget target : service.pool().targets()) {
             boolean isChosen = chosen.filter(route -> route.target() == target).isPresent();
             long wait = target.waitMicros(service.pool().serviceMicros(), nowMicros);
@@ -114,10 +114,10 @@
                     ? chosen.get().contextMicros()
                     : target.missingContextMicros(query.contextTokens(), query.costs());
             String note = isChosen ? "chosen" : target.eligibility(nowMicros);
-            weighed.add(new OperatorReply.Weighed(target.name().value(), wait + context, wait, context, note));
+            weighed.add(new OperatorReply.Candidate(target.name().value(), wait + context, wait, context, note));
         }
-        weighed.sort(Comparator.comparing((OperatorReply.Weighed each) -> rank(each.note()))
-                .thenComparingLong(OperatorReply.Weighed::estimateMicros));
+        weighed.sort(Comparator.comparing((OperatorReply.Candidate each) -> rank(each.note()))
+                .thenComparingLong(OperatorReply.Candidate::estimateMicros));
         return new OperatorReply.Explanation(
                 call.service(),
                 chosen.map(route -> route.target().name().value()).orElse(""),
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/OperatorReply.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/OperatorReply.java
@@ -76,7 +76,7 @@
      * @param reason one line
      * @param weighed every target that was weighed, best first
      */
-    record Explanation(ServiceName service, String chosen, String reason, List<Weighed> weighed)
+    record Explanation(ServiceName service, String chosen, String reason, List<Candidate> weighed)
             implements OperatorReply {}
 
     /**
@@ -88,5 +88,5 @@
      * @param contextMicros of this, fetching or computing context
      * @param note why it was taken, passed over or not eligible
      */
-    record Weighed(String target, long estimateMicros, long waitMicros, long contextMicros, String note) {}
+    record Candidate(String target, long estimateMicros, long waitMicros, long contextMicros, String note) {}
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryMachineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryMachineTest.java
@@ -114,7 +114,7 @@
         OperatorReply.Explanation explanation = (OperatorReply.Explanation) reply.reply();
         assertThat(explanation.chosen()).isEqualTo("target-1");
         assertThat(explanation.weighed())
-                .extracting(OperatorReply.Weighed::note)
+                .extracting(OperatorReply.Candidate::note)
                 .containsExactly("chosen", "drained by the document");
         assertThat(driver.dispatches()).isEmpty();
     }
