--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Membership.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Membership.java
@@ -143,7 +143,7 @@
         for (RoutableTarget target : services.targetsBehind(companion)) {
             reportOf(heartbeat, target)
                     .filter(state -> !link.leaving)
-                    .ifPresentOrElse(state -> target.report(state, nowMicros), target::refusesWork);
+                    .ifPresentOrElse(state -> target.applyReport(state, nowMicros), target::refusesWork);
         }
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutableTarget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutableTarget.java
@@ -27,7 +27,7 @@
 
     private final TargetSettings settings;
     private final long nameHash;
-    private Frame.TargetState report;
+    private Frame.TargetState applyReport;
     private long reportMicros = NEVER;
     private boolean listedLeaving;
     private int ownRequests;
@@ -73,7 +73,7 @@
         }
         RoutableTarget successor = new RoutableTarget(changed);
         if (changed.companion().equals(settings.companion())) {
-            successor.report = report;
+            successor.applyReport = applyReport;
             successor.reportMicros = reportMicros;
             successor.listedLeaving = listedLeaving;
             successor.othersRequests = othersRequests;
@@ -82,12 +82,12 @@
     }
 
     /** Takes its companion's report. Attempts that the companion had accepted by then are counted in it. */
-    public void report(Frame.TargetState state, long nowMicros) {
+    public void applyReport(Frame.TargetState state, long nowMicros) {
         int counted = Math.max(0, ownRequests - unacceptedRequests);
         int others = Math.max(0, state.running() + state.queued() - counted);
-        double weight = report == null ? 1 : 1 - Math.exp((reportMicros - nowMicros) / SMOOTHING_MICROS);
+        double weight = applyReport == null ? 1 : 1 - Math.exp((reportMicros - nowMicros) / SMOOTHING_MICROS);
         othersRequests += (others - othersRequests) * weight;
-        report = state;
+        applyReport = state;
         reportMicros = nowMicros;
         ownContextMicros = unacceptedContextMicros;
     }
@@ -118,18 +118,18 @@
 
     /** Takes the wait that a companion named when it refused an attempt. */
     public void refusedWithWait(long waitMicros, long nowMicros) {
-        if (report == null) {
+        if (applyReport == null) {
             return;
         }
-        report = new Frame.TargetState(
-                report.target(),
-                report.accepting(),
-                report.running(),
-                report.queued(),
-                Math.max(waitMicros, report.waitMicros() - Math.max(0, nowMicros - reportMicros)),
-                report.weightVersion(),
-                report.prefillTokensPerSecond(),
-                report.fetchBytesPerSecond());
+        applyReport = new Frame.TargetState(
+                applyReport.target(),
+                applyReport.accepting(),
+                applyReport.running(),
+                applyReport.queued(),
+                Math.max(waitMicros, applyReport.waitMicros() - Math.max(0, nowMicros - reportMicros)),
+                applyReport.weightVersion(),
+                applyReport.prefillTokensPerSecond(),
+                applyReport.fetchBytesPerSecond());
     }
 
     /** Notes what the platform's lagging list says of it. */
@@ -147,12 +147,15 @@
      * operator drains it.
      */
     public boolean isEligible(long nowMicros) {
-        return report != null && report.accepting() && !settings.draining() && nowMicros - reportMicros < FRESH_MICROS;
+        return applyReport != null
+                && applyReport.accepting()
+                && !settings.draining()
+                && nowMicros - reportMicros < FRESH_MICROS;
     }
 
     /** Returns the weight version that its companion last reported; empty if there is no report, or no engine. */
     public String weightVersion() {
-        return report == null ? "" : report.weightVersion();
+        return applyReport == null ? "" : applyReport.weightVersion();
     }
 
     /** Returns why new work may not be sent there, for operators. */
@@ -166,7 +169,7 @@
         if (nowMicros - reportMicros >= FRESH_MICROS) {
             return "its companion's report is too old";
         }
-        return report.accepting() ? "eligible" : "its companion accepts no work";
+        return applyReport.accepting() ? "eligible" : "its companion accepts no work";
     }
 
     /**
@@ -175,11 +178,11 @@
      * @param serviceMicros how long an attempt usually occupies the target
      */
     public long waitMicros(long serviceMicros, long nowMicros) {
-        if (report == null) {
+        if (applyReport == null) {
             return 0;
         }
         long elapsed = nowMicros - reportMicros;
-        long remaining = Math.max(0, report.waitMicros() + ownContextMicros - elapsed);
+        long remaining = Math.max(0, applyReport.waitMicros() + ownContextMicros - elapsed);
         double ahead = ownRequests + othersRequests - settings.concurrency();
         if (ahead < 0) {
             return remaining;
@@ -199,13 +202,13 @@
 
     /** Returns the requests that its companion reported last. */
     public int reportedRequests() {
-        return report == null ? 0 : report.running() + report.queued();
+        return applyReport == null ? 0 : applyReport.running() + applyReport.queued();
     }
 
     /** Returns the time in microseconds to get this much context that it lacks, the cheaper way. */
     public long missingContextMicros(int tokens, ContextCosts costs) {
-        long prefill = report == null ? 0 : report.prefillTokensPerSecond();
-        long fetch = report == null ? 0 : report.fetchBytesPerSecond();
+        long prefill = applyReport == null ? 0 : applyReport.prefillTokensPerSecond();
+        long fetch = applyReport == null ? 0 : applyReport.fetchBytesPerSecond();
         return Math.min(costs.recomputeMicros(tokens, prefill), costs.fetchMicros(tokens, fetch));
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/DecisionCostBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/DecisionCostBench.java
@@ -79,7 +79,7 @@
         }
         TargetPool pool = new TargetPool(settings);
         pool.targets()
-                .forEach(target -> target.report(
+                .forEach(target -> target.applyReport(
                         new Frame.TargetState(target.name(), true, target.name().hashCode() & 15, 0, 0, "v1", 0, 0),
                         1_000_000));
         return pool;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
@@ -129,7 +129,7 @@
         }
         Frame.TargetState state = engine.state();
         for (Entry entry : entries) {
-            at(now + WAY_MICROS, () -> entry.pool.targets().get(engine.number).report(state, now));
+            at(now + WAY_MICROS, () -> entry.pool.targets().get(engine.number).applyReport(state, now));
         }
         at(now + SECOND, () -> report(engine));
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/Pools.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/Pools.java
@@ -39,6 +39,7 @@
     }
 
     static void report(RoutableTarget target, boolean accepting, int running, long waitMicros, long nowMicros) {
-        target.report(new Frame.TargetState(target.name(), accepting, running, 0, waitMicros, "v1", 0, 0), nowMicros);
+        target.applyReport(
+                new Frame.TargetState(target.name(), accepting, running, 0, waitMicros, "v1", 0, 0), nowMicros);
     }
 }
