--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Attempts.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Attempts.java
@@ -156,7 +156,7 @@
         leave(inFlight);
         inFlight.route.target().refusedWithWait(frame.waitMicros(), nowMicros);
         if (CLOSED.contains(kind)) {
-            inFlight.route.target().refusesWork();
+            inFlight.route.target().markUnavailable();
         }
         if (inFlight.begun || !ELSEWHERE.contains(kind) || inFlight.attempts >= MOST_ATTEMPTS) {
             endings.refuse(inFlight, frame.refusal(), nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Membership.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Membership.java
@@ -143,7 +143,7 @@
         for (RoutableTarget target : services.targetsBehind(companion)) {
             reportOf(heartbeat, target)
                     .filter(state -> !link.leaving)
-                    .ifPresentOrElse(state -> target.applyReport(state, nowMicros), target::refusesWork);
+                    .ifPresentOrElse(state -> target.applyReport(state, nowMicros), target::markUnavailable);
         }
     }
 
@@ -277,7 +277,7 @@
     }
 
     private void targetsRefuseWork(Address companion) {
-        services.targetsBehind(companion).forEach(RoutableTarget::refusesWork);
+        services.targetsBehind(companion).forEach(RoutableTarget::markUnavailable);
     }
 
     private static Optional<Frame.TargetState> reportOf(Frame.Heartbeat heartbeat, RoutableTarget target) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutableTarget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutableTarget.java
@@ -112,7 +112,7 @@
     }
 
     /** Notes that its companion takes no more work until it reports otherwise. */
-    public void refusesWork() {
+    public void markUnavailable() {
         reportMicros = NEVER;
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
@@ -173,7 +173,7 @@
             engine.dead = true;
             List<Job> cut = List.copyOf(engine.jobs);
             at(now + LOSS_SEEN_MICROS, () -> {
-                entries.forEach(entry -> entry.pool.targets().get(engine.number).refusesWork());
+                entries.forEach(entry -> entry.pool.targets().get(engine.number).markUnavailable());
                 cut.forEach(this::move);
             });
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/AffinityPolicyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/AffinityPolicyTest.java
@@ -118,7 +118,7 @@
         RoutableTarget home = policy.choose(query, pool, Pools.NOW).get().target();
         home.listed(true);
         RoutableTarget other = policy.choose(query, pool, Pools.NOW).get().target();
-        other.refusesWork();
+        other.markUnavailable();
 
         assertThat(other).isNotSameAs(home);
         assertThat(policy.choose(query, pool, Pools.NOW).get().target()).isSameAs(home);
