--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Attempts.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Attempts.java
@@ -129,7 +129,7 @@
         inFlight.progressMicros = nowMicros;
         inFlight.sentMicros = nowMicros;
         inFlight.tried.add(route.target().name());
-        route.target().dispatched(route.contextMicros());
+        route.target().onDispatched(route.contextMicros());
         policy.dispatched(inFlight.query(), route, inFlight.service().pool(), nowMicros);
         outbox.send(
                 link.address,
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutableTarget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutableTarget.java
@@ -93,7 +93,7 @@
     }
 
     /** Notes that an attempt was sent there which may compute or fetch context for the given time. */
-    public void dispatched(long contextMicros) {
+    public void onDispatched(long contextMicros) {
         ownRequests++;
         ownContextMicros += contextMicros;
         unacceptedRequests++;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
@@ -155,7 +155,7 @@
         }
         job.route = route;
         job.tried.add(route.target().name());
-        route.target().dispatched(route.contextMicros());
+        route.target().onDispatched(route.contextMicros());
         entry.policy.dispatched(query, route, entry.pool, now);
         Engine engine = engines.get(entry.pool.targets().indexOf(route.target()));
         engine.jobs.add(job);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/RoutableTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/RoutableTargetTest.java
@@ -12,7 +12,7 @@
     void whatWasSentSinceTheReportCounts() {
         for (int sent = 0; sent < Pools.SLOTS; sent++) {
             assertThat(target.waitMicros(SERVICE_MICROS, Pools.NOW)).isZero();
-            target.dispatched(0);
+            target.onDispatched(0);
         }
         assertThat(target.utilisation()).isEqualTo(1);
         assertThat(target.waitMicros(SERVICE_MICROS, Pools.NOW)).isEqualTo(SERVICE_MICROS / Pools.SLOTS);
@@ -21,8 +21,8 @@
     /** Counted twice, an entry's own work would drive it away from targets that are idle. */
     @Test
     void whatACompanionHadAcceptedIsNotCountedBesideItsReport() {
-        target.dispatched(50_000);
-        target.dispatched(50_000);
+        target.onDispatched(50_000);
+        target.onDispatched(50_000);
         target.accepted(50_000);
 
         Pools.report(target, true, 1, 0, Pools.NOW);
