--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Attempts.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Attempts.java
@@ -130,7 +130,7 @@
         inFlight.sentMicros = nowMicros;
         inFlight.tried.add(route.target().name());
         route.target().onDispatched(route.contextMicros());
-        policy.dispatched(inFlight.query(), route, inFlight.service().pool(), nowMicros);
+        policy.onDispatched(inFlight.query(), route, inFlight.service().pool(), nowMicros);
         outbox.send(
                 link.address,
                 new Frame.Dispatch(
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/AffinityPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/AffinityPolicy.java
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public void dispatched(RoutingQuery query, Route route, TargetPool pool, long nowMicros) {
+    public void onDispatched(RoutingQuery query, Route route, TargetPool pool, long nowMicros) {
         if (query.affinity() != Affinity.CONTEXT) {
             return;
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutingPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutingPolicy.java
@@ -18,5 +18,5 @@
     Optional<Route> choose(RoutingQuery query, TargetPool pool, long nowMicros);
 
     /** Notes that a request was sent on a route that this policy chose. */
-    default void dispatched(RoutingQuery query, Route route, TargetPool pool, long nowMicros) {}
+    default void onDispatched(RoutingQuery query, Route route, TargetPool pool, long nowMicros) {}
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/DecisionCostBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/DecisionCostBench.java
@@ -46,7 +46,7 @@
             RoutingQuery query = query(kind, random);
             long begin = System.nanoTime();
             Route route = policy.choose(query, pool, now).orElseThrow();
-            policy.dispatched(query, route, pool, now);
+            policy.onDispatched(query, route, pool, now);
             long end = System.nanoTime();
             if (turn >= 0) {
                 nanos[turn] = end - begin;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
@@ -156,7 +156,7 @@
         job.route = route;
         job.tried.add(route.target().name());
         route.target().onDispatched(route.contextMicros());
-        entry.policy.dispatched(query, route, entry.pool, now);
+        entry.policy.onDispatched(query, route, entry.pool, now);
         Engine engine = engines.get(entry.pool.targets().indexOf(route.target()));
         engine.jobs.add(job);
         at(now + WAY_MICROS, () -> engine.take(job));
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/AffinityPolicyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/AffinityPolicyTest.java
@@ -49,7 +49,7 @@
             assertThat(route.isPresent()).isEqualTo(states.contains(4));
             route.ifPresent(found -> {
                 assertThat(states.get(pool.targets().indexOf(found.target()))).isEqualTo(4);
-                policy.dispatched(query, found, pool, Pools.NOW);
+                policy.onDispatched(query, found, pool, Pools.NOW);
             });
         }
     }
@@ -186,7 +186,7 @@
 
     private Route send(RoutingQuery query, TargetPool pool, long now) {
         Route route = policy.choose(query, pool, now).orElseThrow();
-        policy.dispatched(query, route, pool, now);
+        policy.onDispatched(query, route, pool, now);
         return route;
     }
 
