--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Endings.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Endings.java
@@ -39,7 +39,7 @@
         quarantine.answered(inFlight, nowMicros);
         outbox.emit(new EntryEffect.EndAnswer(inFlight.sequence));
         inFlight.service().returns().answered(nowMicros);
-        inFlight.service().pool().served(nowMicros - inFlight.arrivedMicros - inFlight.usage.queuedMicros());
+        inFlight.service().pool().recordServiceTime(nowMicros - inFlight.arrivedMicros - inFlight.usage.queuedMicros());
         finish(inFlight, Optional.empty(), inFlight.status, nowMicros);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/TargetPool.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/TargetPool.java
@@ -69,7 +69,7 @@
     }
 
     /** Takes into the mean how long an attempt occupied its target, in microseconds. */
-    public void served(long micros) {
+    public void recordServiceTime(long micros) {
         serviceMicros += (micros - serviceMicros) / SERVICE_SMOOTHING;
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
@@ -290,7 +290,7 @@
             running--;
             jobs.remove(job);
             at(now + WAY_MICROS, () -> job.route.target().ended());
-            job.entry.pool.served(now - job.demand.micros() - SECOND);
+            job.entry.pool.recordServiceTime(now - job.demand.micros() - SECOND);
             startNext();
         }
     }
