--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/RoutingBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/RoutingBench.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Function;
 import org.rattanrudder.core.routing.AffinityPolicy;
-import org.rattanrudder.core.routing.NaivePolicies;
+import org.rattanrudder.core.routing.BaselinePolicies;
 import org.rattanrudder.core.routing.RoutingPolicy;
 
 /** Compares policies on the same seeds: a breaking context, plain calls under late reports, a lost failure domain. */
@@ -23,11 +23,11 @@
     private static final Map<String, Function<SplittableRandom, RoutingPolicy>> POLICIES = new LinkedHashMap<>();
 
     static {
-        POLICIES.put("random", NaivePolicies::random);
-        POLICIES.put("round robin", random -> NaivePolicies.roundRobin());
-        POLICIES.put("least load", random -> NaivePolicies.leastLoad());
-        POLICIES.put("least reported", random -> NaivePolicies.leastReported());
-        POLICIES.put("prefix affinity", random -> NaivePolicies.prefixAffinity());
+        POLICIES.put("random", BaselinePolicies::random);
+        POLICIES.put("round robin", random -> BaselinePolicies.roundRobin());
+        POLICIES.put("least load", random -> BaselinePolicies.leastLoad());
+        POLICIES.put("least reported", random -> BaselinePolicies.leastReported());
+        POLICIES.put("prefix affinity", random -> BaselinePolicies.prefixAffinity());
         POLICIES.put("rattanrudder", random -> new AffinityPolicy("domain-1", random));
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/AffinityPolicyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/AffinityPolicyTest.java
@@ -62,7 +62,7 @@
         RoutingQuery query = query(Affinity.CONTEXT, key, Set.of());
 
         assertThat(policy.choose(query, pool, Pools.NOW).map(Route::target))
-                .isEqualTo(NaivePolicies.prefixAffinity()
+                .isEqualTo(BaselinePolicies.prefixAffinity()
                         .choose(query, pool, Pools.NOW)
                         .map(Route::target));
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/NaivePolicies.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/BaselinePolicies.java
@@ -7,8 +7,8 @@
 import java.util.random.RandomGenerator;
 
 /** The policies that the real one is compared with, each as plain as it can be. */
-public final class NaivePolicies {
-    private NaivePolicies() {}
+public final class BaselinePolicies {
+    private BaselinePolicies() {}
 
     /** Any eligible target. */
     public static RoutingPolicy random(RandomGenerator random) {
