--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/CustomerRateBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/CustomerRateBench.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 import java.util.SplittableRandom;
-import org.rattanrudder.core.entry.RateSharing;
+import org.rattanrudder.core.entry.RateLimitSimulation;
 
 /** Measures how near entries without a shared store come to a customer's rate, by how its demand falls on them. */
 public final class CustomerRateBench {
@@ -17,7 +17,7 @@
             {0.34, 0.33, 0.33}, {0.5, 0.3, 0.2}, {0.8, 0.1, 0.1}, {1, 0, 0}, {0.125, 0.125, 0.125, 0.125, 0.5}
         }) {
             for (int demand : new int[] {50, 90, 100, 300}) {
-                RateSharing sharing = new RateSharing(RATE, parts.length);
+                RateLimitSimulation sharing = new RateLimitSimulation(RATE, parts.length);
                 int[] passed = sharing.run(0, 60, demand, parts, new SplittableRandom(4));
                 double mean = Arrays.stream(passed).skip(10).average().orElseThrow();
                 System.out.printf(
@@ -30,7 +30,7 @@
                         100 * mean / Math.min(RATE, demand));
             }
         }
-        RateSharing sharing = new RateSharing(RATE, 3);
+        RateLimitSimulation sharing = new RateLimitSimulation(RATE, 3);
         SplittableRandom random = new SplittableRandom(4);
         sharing.run(0, 20, 90, new double[] {1, 0, 0}, random);
         System.out.println("demand of 90/s moves from the first of 3 entries to the second; let pass in each second: "
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/CustomerLimitsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/CustomerLimitsTest.java
@@ -28,7 +28,8 @@
             @ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int seconds = 20;
-        int[] passed = new RateSharing(RATE, entries).run(0, seconds, perSecond, parts(entries, random), random);
+        int[] passed =
+                new RateLimitSimulation(RATE, entries).run(0, seconds, perSecond, parts(entries, random), random);
 
         assertThat((double) Arrays.stream(passed).sum())
                 .isLessThanOrEqualTo(RATE * (seconds + 2 * CustomerLimits.BURST_SECONDS));
@@ -42,7 +43,7 @@
     void aCustomerThatKeepsToItsRateIsLetPassWhicheverEntriesItComesThrough(
             @ForAll @IntRange(min = 1, max = 8) int entries, @ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        RateSharing sharing = new RateSharing(RATE, entries);
+        RateLimitSimulation sharing = new RateLimitSimulation(RATE, entries);
         double[] parts = parts(entries, random);
         sharing.run(0, 15, 90, parts, random);
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/RateSharing.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/RateLimitSimulation.java
@@ -10,7 +10,7 @@
 import org.rattanrudder.core.model.CustomerName;
 
 /** Some entries that hold one customer's rate, and a companion that counts for them and reports each second. */
-public final class RateSharing {
+public final class RateLimitSimulation {
     private static final long SECOND = 1_000_000;
     private static final long CUSTOMER = 7;
     private static final Address COMPANION = new Address("10.0.0.1", 9000);
@@ -21,7 +21,7 @@
     private long taken;
 
     /** Creates entries that share the rate in requests a second. */
-    public RateSharing(double rate, int entries) {
+    public RateLimitSimulation(double rate, int entries) {
         customer = new CustomerSettings(new CustomerName("depot-sever"), List.of(), 1, rate, Set.of());
         for (int entry = 0; entry < entries; entry++) {
             limits.add(new CustomerLimits());
