--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
@@ -207,7 +207,7 @@
      * @param event a fixed word for it, such as {@code lease_lapsed}
      * @param fields key, value, key, value and so on
      */
-    record Note(String event, List<String> fields) implements CompanionEffect {}
+    record LogEvent(String event, List<String> fields) implements CompanionEffect {}
 
     /** Nothing runs any more and none will be taken: the process may end. */
     record Drained() implements CompanionEffect {}
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Turn.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Turn.java
@@ -15,6 +15,6 @@
     }
 
     void note(String event, String... fields) {
-        ask(new CompanionEffect.Note(event, List.of(fields)));
+        ask(new CompanionEffect.LogEvent(event, List.of(fields)));
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionEffects.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionEffects.java
@@ -88,7 +88,7 @@
             watches.unwatch(unwatch.name());
         } else if (effect instanceof CompanionEffect.Append append) {
             appender.append(append.stream(), append.batch(), result -> settled(append, result));
-        } else if (effect instanceof CompanionEffect.Note note) {
+        } else if (effect instanceof CompanionEffect.LogEvent note) {
             log.write(ErrorKind.Severity.INFO, note.event(), note.fields());
         } else if (effect instanceof CompanionEffect.Drained) {
             drained.run();
