--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
@@ -166,7 +166,7 @@
      * @param version the weight version to serve
      * @param adapters the adapters to hold
      */
-    record GiveOrder(TargetName name, Address target, long fencing, String model, String version, List<String> adapters)
+    record SendOrder(TargetName name, Address target, long fencing, String model, String version, List<String> adapters)
             implements CompanionEffect {}
 
     /**
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
@@ -106,7 +106,7 @@
 
             @Override
             public void give(long fencing, DesiredState state) {
-                turn.ask(new CompanionEffect.GiveOrder(
+                turn.ask(new CompanionEffect.SendOrder(
                         name, target.settings().address(), fencing, state.model(), state.version(), state.adapters()));
             }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/EngineOrdersTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/EngineOrdersTest.java
@@ -18,9 +18,9 @@
         driver.reportVersion("v0");
         logTurns(4);
         assertThat(driver.all(CompanionEffect.AskLastOrder.class)).isNotEmpty();
-        assertThat(driver.all(CompanionEffect.GiveOrder.class)).isEmpty();
+        assertThat(driver.all(CompanionEffect.SendOrder.class)).isEmpty();
         driver.handle(new CompanionEvent.OrderAnswered(CompanionDriver.ENGINE, 0, OrderOutcome.REFUSED));
-        assertThat(driver.all(CompanionEffect.GiveOrder.class)).singleElement().satisfies(order -> {
+        assertThat(driver.all(CompanionEffect.SendOrder.class)).singleElement().satisfies(order -> {
             assertThat(order.version()).isEqualTo("v1");
             assertThat(order.fencing()).isBetween(1L, end);
         });
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionEffects.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionEffects.java
@@ -78,7 +78,7 @@
     private void acceptRare(CompanionEffect effect) {
         if (effect instanceof CompanionEffect.CloseLink close) {
             links.close(close.link());
-        } else if (effect instanceof CompanionEffect.GiveOrder order) {
+        } else if (effect instanceof CompanionEffect.SendOrder order) {
             orders.give(order);
         } else if (effect instanceof CompanionEffect.AskLastOrder ask) {
             orders.askLast(ask);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/Orders.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/Orders.java
@@ -30,7 +30,7 @@
         this.publish = publish;
     }
 
-    void give(CompanionEffect.GiveOrder order) {
+    void give(CompanionEffect.SendOrder order) {
         ObjectNode body = MAPPER.createObjectNode()
                 .put("fencing", order.fencing())
                 .put("model", order.model())
