--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
@@ -175,7 +175,7 @@
      * @param name the target's name
      * @param target the target's address
      */
-    record AskLastOrder(TargetName name, Address target) implements CompanionEffect {}
+    record QueryLastOrder(TargetName name, Address target) implements CompanionEffect {}
 
     /**
      * Watch a target's load and cache events from now on, or anew after its address changed.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
@@ -112,8 +112,8 @@
 
             @Override
             public void askLast() {
-                turn.ask(
-                        new CompanionEffect.AskLastOrder(name, target.settings().address()));
+                turn.ask(new CompanionEffect.QueryLastOrder(
+                        name, target.settings().address()));
             }
 
             @Override
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/EngineOrdersTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/EngineOrdersTest.java
@@ -17,7 +17,7 @@
     void anEngineAtAnotherVersionThanItsDocumentIsOrderedThroughTheLog() {
         driver.reportVersion("v0");
         logTurns(4);
-        assertThat(driver.all(CompanionEffect.AskLastOrder.class)).isNotEmpty();
+        assertThat(driver.all(CompanionEffect.QueryLastOrder.class)).isNotEmpty();
         assertThat(driver.all(CompanionEffect.SendOrder.class)).isEmpty();
         driver.handle(new CompanionEvent.OrderAnswered(CompanionDriver.ENGINE, 0, OrderOutcome.REFUSED));
         assertThat(driver.all(CompanionEffect.SendOrder.class)).singleElement().satisfies(order -> {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionEffects.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionEffects.java
@@ -80,7 +80,7 @@
             links.close(close.link());
         } else if (effect instanceof CompanionEffect.SendOrder order) {
             orders.give(order);
-        } else if (effect instanceof CompanionEffect.AskLastOrder ask) {
+        } else if (effect instanceof CompanionEffect.QueryLastOrder ask) {
             orders.askLast(ask);
         } else if (effect instanceof CompanionEffect.WatchTarget watch) {
             watches.watch(watch);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/Orders.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/Orders.java
@@ -44,7 +44,7 @@
                         new CompanionEvent.OrderAnswered(order.name(), order.fencing(), outcome(result))));
     }
 
-    void askLast(CompanionEffect.AskLastOrder ask) {
+    void askLast(CompanionEffect.QueryLastOrder ask) {
         caller.fetch(ask.target(), HttpRequest.get("/orders/last"))
                 .thenAccept(result -> publish.accept(lastOrder(ask, result)));
     }
@@ -62,7 +62,7 @@
         };
     }
 
-    private static CompanionEvent lastOrder(CompanionEffect.AskLastOrder ask, HttpResult result) {
+    private static CompanionEvent lastOrder(CompanionEffect.QueryLastOrder ask, HttpResult result) {
         if (result instanceof HttpResult.Answered answered && answered.status() == OK) {
             try {
                 JsonNode last = MAPPER.readTree(answered.body());
