--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEvent.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEvent.java
@@ -84,7 +84,7 @@
      *
      * @param target the target
      */
-    record LoadMissed(TargetName target) implements CompanionEvent {}
+    record LoadReportMissed(TargetName target) implements CompanionEvent {}
 
     /**
      * An engine's cache events, which come late and with gaps.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
@@ -91,7 +91,7 @@
             answers.failed(failed, turn);
         } else if (event instanceof CompanionEvent.LoadReported reported) {
             takeLoad(reported, turn);
-        } else if (event instanceof CompanionEvent.LoadMissed missed) {
+        } else if (event instanceof CompanionEvent.LoadReportMissed missed) {
             HeldTarget target = targets.find(missed.target());
             if (target != null) {
                 target.missReport(turn.nowMicros());
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionStagesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionStagesTest.java
@@ -123,7 +123,7 @@
             open.frame(1, append(sequence));
         }
         for (int second = 0; second <= 3; second++) {
-            open.handle(new CompanionEvent.LoadMissed(PLAIN));
+            open.handle(new CompanionEvent.LoadReportMissed(PLAIN));
             open.pass(1_000, 1);
         }
         assertThat(open.called()).containsExactly(id(1), id(2));
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/TargetWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/TargetWatch.java
@@ -84,9 +84,9 @@
                                 load.path("age_millis").asLong()));
             }
         } catch (IOException malformed) {
-            return new CompanionEvent.LoadMissed(watched.name());
+            return new CompanionEvent.LoadReportMissed(watched.name());
         }
-        return new CompanionEvent.LoadMissed(watched.name());
+        return new CompanionEvent.LoadReportMissed(watched.name());
     }
 
     private void takeEvents(HttpResult result) {
