--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
@@ -128,7 +128,7 @@
         }
         List<ContextReady> ready = new ArrayList<>();
         for (TargetMover mover : movers.values()) {
-            if (event instanceof CompanionEvent.BlocksFound found) {
+            if (event instanceof CompanionEvent.BlockLookupEnded found) {
                 ready.addAll(mover.found(found, nowMicros, effects));
             } else if (event instanceof CompanionEvent.MoveEnded moved) {
                 ready.addAll(mover.moveEnded(moved, nowMicros, effects));
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/Lookups.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/Lookups.java
@@ -62,7 +62,7 @@
     }
 
     /** Takes an answer; returns whether a prompt still waited for it. */
-    boolean answered(CompanionEvent.BlocksFound event, long nowMicros) {
+    boolean answered(CompanionEvent.BlockLookupEnded event, long nowMicros) {
         Lookup lookup = open.remove(event.lookup());
         if (lookup == null) {
             return false;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/TargetMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/TargetMover.java
@@ -110,7 +110,7 @@
     }
 
     List<ContextReady> found(
-            CompanionEvent.BlocksFound event, long nowMicros, Consumer<? super CompanionEffect> effects) {
+            CompanionEvent.BlockLookupEnded event, long nowMicros, Consumer<? super CompanionEffect> effects) {
         return lookups.answered(event, nowMicros) ? advance(nowMicros, effects) : List.of();
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEvent.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEvent.java
@@ -102,7 +102,7 @@
      * @param found the blocks that are there; empty also when the store didn't answer
      * @param answered whether the store answered
      */
-    record BlocksFound(long lookup, List<StoredBlock> found, boolean answered) implements CompanionEvent {}
+    record BlockLookupEnded(long lookup, List<StoredBlock> found, boolean answered) implements CompanionEvent {}
 
     /**
      * A move of a block has ended.
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverPropertiesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverPropertiesTest.java
@@ -146,7 +146,7 @@
             found.add(rig.stored(Digest.of("crossed", Integer.toString(random.nextInt()))));
             described.addAll(found);
             boolean answered = random.nextInt(5) > 0;
-            rig.handle(new CompanionEvent.BlocksFound(lookup.lookup(), answered ? found : List.of(), answered));
+            rig.handle(new CompanionEvent.BlockLookupEnded(lookup.lookup(), answered ? found : List.of(), answered));
         }
 
         private MoveOutcome outcome() {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverTest.java
@@ -110,7 +110,8 @@
         rig.prepare(prompt);
         StoredBlock other = rig.stored(Digest.of("another"));
         rig.take(LookUpBlocks.class)
-                .forEach(lookup -> rig.handle(new CompanionEvent.BlocksFound(lookup.lookup(), List.of(other), true)));
+                .forEach(lookup ->
+                        rig.handle(new CompanionEvent.BlockLookupEnded(lookup.lookup(), List.of(other), true)));
 
         assertThat(rig.effects).isEmpty();
         assertThat(rig.ready).containsExactly(new ContextReady(prompt.attempt(), 0, 0));
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/CacheRig.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/CacheRig.java
@@ -151,7 +151,7 @@
                     .map(stores.get(lookup.store())::get)
                     .filter(Objects::nonNull)
                     .toList();
-            handle(new CompanionEvent.BlocksFound(lookup.lookup(), found, true));
+            handle(new CompanionEvent.BlockLookupEnded(lookup.lookup(), found, true));
         } else if (effect instanceof CompanionEffect.FetchBlock fetch) {
             boolean there = fetch.block()
                     .equals(stores.get(fetch.store()).get(fetch.block().block()));
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/StateBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/StateBench.java
@@ -94,7 +94,7 @@
         effects.clear();
         for (CompanionEffect effect : asked) {
             if (effect instanceof CompanionEffect.LookUpBlocks lookup) {
-                mover.handle(new CompanionEvent.BlocksFound(lookup.lookup(), List.of(), true), now, effects::add);
+                mover.handle(new CompanionEvent.BlockLookupEnded(lookup.lookup(), List.of(), true), now, effects::add);
             } else if (effect instanceof CompanionEffect.ExportBlock export) {
                 mover.handle(new CompanionEvent.MoveEnded(export.move(), MoveOutcome.DONE, 0), now, effects::add);
             }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/World.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/World.java
@@ -151,7 +151,7 @@
                         .filter(store::containsKey)
                         .map(store::get)
                         .toList();
-                tell(target, new CompanionEvent.BlocksFound(lookup.lookup(), found, true));
+                tell(target, new CompanionEvent.BlockLookupEnded(lookup.lookup(), found, true));
             });
         } else if (effect instanceof CompanionEffect.FetchBlock fetch) {
             at(now + passMicros(), () -> fetched(target, fetch));
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/StoredContextMoverTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/StoredContextMoverTest.java
@@ -106,7 +106,8 @@
     private void run(long sequence, int cachedTokens) {
         driver.frame(1, prompt(sequence));
         driver.all(LookUpBlocks.class)
-                .forEach(lookup -> driver.handle(new CompanionEvent.BlocksFound(lookup.lookup(), List.of(), true)));
+                .forEach(
+                        lookup -> driver.handle(new CompanionEvent.BlockLookupEnded(lookup.lookup(), List.of(), true)));
         driver.answer(sequence, "yes");
         driver.handle(new CompanionEvent.TargetEnded(
                 CompanionDriver.id(sequence), new Usage(4_050, cachedTokens, 0, 0, 1, 0)));
@@ -117,7 +118,7 @@
             List<StoredBlock> found = lookup.blocks().stream()
                     .map(block -> new StoredBlock(block, 7, 1, BLOCK_BYTES, Digest.of("content")))
                     .toList();
-            driver.handle(new CompanionEvent.BlocksFound(lookup.lookup(), found, true));
+            driver.handle(new CompanionEvent.BlockLookupEnded(lookup.lookup(), found, true));
         }
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/BlockCopier.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/BlockCopier.java
@@ -30,7 +30,7 @@
     void lookUp(CompanionEffect.LookUpBlocks lookUp) {
         new StoreClient(caller, lookUp.store()).lookUp(lookUp.blocks()).thenAccept(found -> {
             List<StoredBlock> blocks = found.orElse(List.of());
-            publish.accept(new CompanionEvent.BlocksFound(lookUp.lookup(), blocks, found.isPresent()));
+            publish.accept(new CompanionEvent.BlockLookupEnded(lookUp.lookup(), blocks, found.isPresent()));
         });
     }
 
