--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Answers.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Answers.java
@@ -16,7 +16,7 @@
         this.runs = runs;
     }
 
-    void answered(CompanionEvent.TargetAnswered event, Turn turn) {
+    void answered(CompanionEvent.TargetAnswerStarted event, Turn turn) {
         Attempt attempt = called(event.attempt());
         if (attempt == null) {
             return;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEvent.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEvent.java
@@ -43,7 +43,7 @@
      * @param status the HTTP status
      * @param headers the headers
      */
-    record TargetAnswered(AttemptId attempt, int status, List<Header> headers) implements CompanionEvent {}
+    record TargetAnswerStarted(AttemptId attempt, int status, List<Header> headers) implements CompanionEvent {}
 
     /**
      * A part of the target's answer. For an engine one server-sent event, for a plain service any part of the body.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
@@ -83,7 +83,7 @@
     private boolean takeFromTarget(CompanionEvent event, Turn turn) {
         if (event instanceof CompanionEvent.TargetChunk chunk) {
             answers.chunk(chunk, turn);
-        } else if (event instanceof CompanionEvent.TargetAnswered answered) {
+        } else if (event instanceof CompanionEvent.TargetAnswerStarted answered) {
             answers.answered(answered, turn);
         } else if (event instanceof CompanionEvent.TargetEnded ended) {
             answers.ended(ended, turn);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionDriver.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionDriver.java
@@ -138,7 +138,7 @@
             openCalls.remove(ended.attempt());
         } else if (event instanceof CompanionEvent.TargetFailed failed) {
             openCalls.remove(failed.attempt());
-        } else if (event instanceof CompanionEvent.TargetAnswered begun) {
+        } else if (event instanceof CompanionEvent.TargetAnswerStarted begun) {
             answered.add(begun.attempt());
         }
         machine.handle(event, nowMicros, this::take);
@@ -229,7 +229,7 @@
     }
 
     void answer(long sequence, String... chunks) {
-        handle(new CompanionEvent.TargetAnswered(id(sequence), 200, List.of()));
+        handle(new CompanionEvent.TargetAnswerStarted(id(sequence), 200, List.of()));
         for (String chunk : chunks) {
             chunk(sequence, chunk, "v1");
         }
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/companion/EngineCallTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/companion/EngineCallTest.java
@@ -62,7 +62,7 @@
     /** Returns the last event and the numbers of the chunks before it, such as {@code 0 1 TargetEnded}. */
     private String summary() {
         return events.stream()
-                .filter(event -> !(event instanceof CompanionEvent.TargetAnswered))
+                .filter(event -> !(event instanceof CompanionEvent.TargetAnswerStarted))
                 .map(event -> event instanceof CompanionEvent.TargetChunk chunk
                         ? new String(chunk.bytes(), StandardCharsets.UTF_8)
                                 .replaceAll("\\D*1\",\"n\":(\\d+)}\\s*", "$1")
@@ -136,7 +136,7 @@
         assertThat(events)
                 .usingRecursiveComparison()
                 .isEqualTo(List.of(
-                        new CompanionEvent.TargetAnswered(
+                        new CompanionEvent.TargetAnswerStarted(
                                 ATTEMPT, 400, List.of(new Header("Content-Type", "application/json"))),
                         new CompanionEvent.TargetChunk(ATTEMPT, bytes("{\"error\":1}"), ""),
                         new CompanionEvent.TargetEnded(ATTEMPT, Usage.NONE)));
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/bench/CapacityBench.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/bench/CapacityBench.java
@@ -226,7 +226,7 @@
         if (effects.stream().noneMatch(effect -> effect instanceof CompanionEffect.StartPrompt)) {
             throw new IllegalStateException("not started: " + effects);
         }
-        machine.handle(new CompanionEvent.TargetAnswered(attempt, 200, List.of()), clock.now, effect -> {});
+        machine.handle(new CompanionEvent.TargetAnswerStarted(attempt, 200, List.of()), clock.now, effect -> {});
         for (int chunk = 0; chunk < CHUNKS; chunk++) {
             machine.handle(new CompanionEvent.TargetChunk(attempt, CHUNK, VERSION), clock.now, effect -> {});
             machine.handle(new CompanionEvent.FrameArrived(0, new Frame.Credit(attempt, 1)), clock.now, effect -> {});
