--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Answers.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Answers.java
@@ -57,7 +57,7 @@
         runs.send(attempt, attempt.answer().add(event.bytes()), turn);
     }
 
-    void ended(CompanionEvent.TargetEnded event, Turn turn) {
+    void ended(CompanionEvent.TargetAnswerEnded event, Turn turn) {
         Attempt attempt = called(event.attempt());
         if (attempt != null) {
             progress(attempt, turn);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEvent.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEvent.java
@@ -60,7 +60,7 @@
      * @param attempt the attempt
      * @param usage what the engine says it cost; {@link Usage#NONE} for plain services
      */
-    record TargetEnded(AttemptId attempt, Usage usage) implements CompanionEvent {}
+    record TargetAnswerEnded(AttemptId attempt, Usage usage) implements CompanionEvent {}
 
     /**
      * The call broke off.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
@@ -85,7 +85,7 @@
             answers.chunk(chunk, turn);
         } else if (event instanceof CompanionEvent.TargetAnswerStarted answered) {
             answers.answered(answered, turn);
-        } else if (event instanceof CompanionEvent.TargetEnded ended) {
+        } else if (event instanceof CompanionEvent.TargetAnswerEnded ended) {
             answers.ended(ended, turn);
         } else if (event instanceof CompanionEvent.TargetFailed failed) {
             answers.failed(failed, turn);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionDriver.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionDriver.java
@@ -134,7 +134,7 @@
     }
 
     public void handle(CompanionEvent event) {
-        if (event instanceof CompanionEvent.TargetEnded ended) {
+        if (event instanceof CompanionEvent.TargetAnswerEnded ended) {
             openCalls.remove(ended.attempt());
         } else if (event instanceof CompanionEvent.TargetFailed failed) {
             openCalls.remove(failed.attempt());
@@ -240,7 +240,7 @@
     }
 
     void end(long sequence) {
-        handle(new CompanionEvent.TargetEnded(id(sequence), Usage.NONE));
+        handle(new CompanionEvent.TargetAnswerEnded(id(sequence), Usage.NONE));
     }
 
     static byte[] bytes(String text) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/StoredContextMoverTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/StoredContextMoverTest.java
@@ -67,7 +67,7 @@
 
         assertThat(driver.all(StartPrompt.class)).hasSize(1);
         driver.answer(2, "yes");
-        driver.handle(new CompanionEvent.TargetEnded(CompanionDriver.id(2), new Usage(4_050, 4_000, 0, 0, 1, 0)));
+        driver.handle(new CompanionEvent.TargetAnswerEnded(CompanionDriver.id(2), new Usage(4_050, 4_000, 0, 0, 1, 0)));
         Frame.AnswerEnd end = driver.sent(1, Frame.AnswerEnd.class).get(0);
         assertThat(end.usage().fetchedTokens()).isEqualTo(4_000);
         assertThat(end.usage().fetchedBytes()).isEqualTo(2 * BLOCK_BYTES);
@@ -109,7 +109,7 @@
                 .forEach(
                         lookup -> driver.handle(new CompanionEvent.BlockLookupEnded(lookup.lookup(), List.of(), true)));
         driver.answer(sequence, "yes");
-        driver.handle(new CompanionEvent.TargetEnded(
+        driver.handle(new CompanionEvent.TargetAnswerEnded(
                 CompanionDriver.id(sequence), new Usage(4_050, cachedTokens, 0, 0, 1, 0)));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/EngineCall.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/EngineCall.java
@@ -82,7 +82,7 @@
             return;
         }
         if (!eventStream) {
-            finish(new CompanionEvent.TargetEnded(attempt(), Usage.NONE));
+            finish(new CompanionEvent.TargetAnswerEnded(attempt(), Usage.NONE));
         } else if (!done) {
             // An end without the mark is a cut stream, however cleanly the connection was closed.
             giveUp("the stream ended early");
@@ -103,7 +103,7 @@
     private void take(EngineEvent event) {
         if (event.isDone()) {
             done = true;
-            finish(new CompanionEvent.TargetEnded(attempt(), usage));
+            finish(new CompanionEvent.TargetAnswerEnded(attempt(), usage));
             return;
         }
         if (event.number() >= 0 && event.number() < nextNumber) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/PlainCall.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/PlainCall.java
@@ -28,6 +28,6 @@
 
     @Override
     public void end() {
-        finish(new CompanionEvent.TargetEnded(attempt(), Usage.NONE));
+        finish(new CompanionEvent.TargetAnswerEnded(attempt(), Usage.NONE));
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/metrics/CompanionMetrics.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/metrics/CompanionMetrics.java
@@ -37,7 +37,7 @@
 
     /** Counts an event. */
     public void count(CompanionEvent event) {
-        if (event instanceof CompanionEvent.TargetEnded) {
+        if (event instanceof CompanionEvent.TargetAnswerEnded) {
             answers.labelValues("whole").inc();
         } else if (event instanceof CompanionEvent.TargetFailed failed) {
             answers.labelValues(failed.nothingSent() ? "not_sent" : "broken").inc();
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/companion/EngineCallTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/companion/EngineCallTest.java
@@ -139,7 +139,7 @@
                         new CompanionEvent.TargetAnswerStarted(
                                 ATTEMPT, 400, List.of(new Header("Content-Type", "application/json"))),
                         new CompanionEvent.TargetChunk(ATTEMPT, bytes("{\"error\":1}"), ""),
-                        new CompanionEvent.TargetEnded(ATTEMPT, Usage.NONE)));
+                        new CompanionEvent.TargetAnswerEnded(ATTEMPT, Usage.NONE)));
     }
 
     /**
@@ -164,7 +164,7 @@
 
         call.readMore(1);
         assertThat(call.resume()).isTrue();
-        assertThat(events.get(events.size() - 1)).isInstanceOf(CompanionEvent.TargetEnded.class);
+        assertThat(events.get(events.size() - 1)).isInstanceOf(CompanionEvent.TargetAnswerEnded.class);
     }
 
     /**
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/bench/CapacityBench.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/bench/CapacityBench.java
@@ -231,7 +231,7 @@
             machine.handle(new CompanionEvent.TargetChunk(attempt, CHUNK, VERSION), clock.now, effect -> {});
             machine.handle(new CompanionEvent.FrameArrived(0, new Frame.Credit(attempt, 1)), clock.now, effect -> {});
         }
-        machine.handle(new CompanionEvent.TargetEnded(attempt, Usage.NONE), clock.now, effect -> {});
+        machine.handle(new CompanionEvent.TargetAnswerEnded(attempt, Usage.NONE), clock.now, effect -> {});
     }
 
     private static DocumentReader reader(int companions) {
