--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/Moves.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/Moves.java
@@ -110,7 +110,7 @@
     List<Long> overdue(long nowMicros) {
         List<Long> overdue = new ArrayList<>();
         for (Map.Entry<Long, Move> entry : underWay.entrySet()) {
-            if (nowMicros - entry.getValue().startMicros < CompanionEffect.LONGEST_MOVE_MICROS) {
+            if (nowMicros - entry.getValue().startMicros < CompanionEffect.MOVE_TIMEOUT_MICROS) {
                 break;
             }
             overdue.add(entry.getKey());
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
@@ -100,7 +100,7 @@
      *   <li>the engine takes it for {@code weightVersion}; if that isn't its active version (409): GONE.
      * </ol>
      *
-     * <p>A side that doesn't answer is UNREACHABLE. A move is broken off and ended within {@link #LONGEST_MOVE_MICROS}:
+     * <p>A side that doesn't answer is UNREACHABLE. A move is broken off and ended within {@link #MOVE_TIMEOUT_MICROS}:
      * the links' budgets count its bytes until then.
      *
      * @param move the number of the move
@@ -134,7 +134,7 @@
      *       commit the outcome is UNREACHABLE: the block may be readable, whole, and a lookup will show it.
      * </ol>
      *
-     * <p>It is broken off and ended within {@link #LONGEST_MOVE_MICROS}.
+     * <p>It is broken off and ended within {@link #MOVE_TIMEOUT_MICROS}.
      *
      * @param move the number of the move
      * @param target the engine's address
@@ -146,7 +146,7 @@
             implements CompanionEffect {}
 
     /** The longest that a move may take, in microseconds. */
-    long LONGEST_MOVE_MICROS = 30_000_000;
+    long MOVE_TIMEOUT_MICROS = 30_000_000;
 
     /**
      * Free a block in a store, to make room for a better one. No event follows.
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverPropertiesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverPropertiesTest.java
@@ -179,7 +179,7 @@
             assertThat(fetch.parent()).isEqualTo(parents.get(block));
             assertThat(fetch.weightVersion()).isEqualTo(versions.get(block));
             Long before = fetching.put(block, rig.now);
-            assertThat(before == null || rig.now - before >= CompanionEffect.LONGEST_MOVE_MICROS)
+            assertThat(before == null || rig.now - before >= CompanionEffect.MOVE_TIMEOUT_MICROS)
                     .as("one fetch of a block at a time")
                     .isTrue();
         }
