--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/AnswerStream.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/AnswerStream.java
@@ -21,7 +21,7 @@
     private long keptBytes;
     private long next;
     private long credits;
-    private long allowed = CompanionEffect.INITIAL_CHUNKS;
+    private long allowed = CompanionEffect.INITIAL_WINDOW_CHUNKS;
 
     AnswerStream(AttemptId attempt) {
         this.attempt = attempt;
@@ -102,7 +102,7 @@
         if (end != null) {
             sink.accept(end);
         }
-        long widened = Math.max(allowed, nextChunk + CompanionEffect.INITIAL_CHUNKS);
+        long widened = Math.max(allowed, nextChunk + CompanionEffect.INITIAL_WINDOW_CHUNKS);
         int more = (int) (widened - allowed);
         allowed = widened;
         return Optional.of(more);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
@@ -67,7 +67,7 @@
 
     /**
      * Read more of the target's answer: back-pressure from a slow caller. A call starts with a window of
-     * {@link #INITIAL_CHUNKS}.
+     * {@link #INITIAL_WINDOW_CHUNKS}.
      *
      * @param attempt the attempt
      * @param chunks how many more chunks may be read
@@ -75,7 +75,7 @@
     record ReadMore(AttemptId attempt, int chunks) implements CompanionEffect {}
 
     /** How many chunks of an answer may be read before the first {@link ReadMore}. */
-    int INITIAL_CHUNKS = 64;
+    int INITIAL_WINDOW_CHUNKS = 64;
 
     /**
      * Ask a store which blocks it has committed; answered by BlocksFound.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Intake.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Intake.java
@@ -75,7 +75,7 @@
                     new Frame.AnswerFailed(attempt.id(), runs.refusal(ErrorKind.CANCELLED, 0, "left to finish"));
             runs.send(attempt, cancelled, turn);
             attempt.abandon();
-            turn.ask(new CompanionEffect.ReadMore(attempt.id(), CompanionEffect.INITIAL_CHUNKS));
+            turn.ask(new CompanionEffect.ReadMore(attempt.id(), CompanionEffect.INITIAL_WINDOW_CHUNKS));
         }
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/AttemptClock.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/AttemptClock.java
@@ -30,7 +30,7 @@
             return inFlight.deadlineMicros() + GRACE_MICROS;
         }
         // A caller that reads slowly fills the window, and the companion sends nothing: that isn't the target's fault.
-        boolean callerIsSlow = inFlight.untakenChunks() >= CompanionEffect.INITIAL_CHUNKS / 2;
+        boolean callerIsSlow = inFlight.untakenChunks() >= CompanionEffect.INITIAL_WINDOW_CHUNKS / 2;
         long limit = callerIsSlow
                 ? Math.max(CALLER_STALL_MICROS, inFlight.progressLimitMicros())
                 : inFlight.progressLimitMicros();
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/frame/Frame.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/frame/Frame.java
@@ -124,7 +124,7 @@
 
     /**
      * Entry to companion: the caller took this many chunks, so as many more may be sent. An attempt starts with a
-     * window of {@link org.rattanrudder.core.companion.CompanionEffect#INITIAL_CHUNKS}.
+     * window of {@link org.rattanrudder.core.companion.CompanionEffect#INITIAL_WINDOW_CHUNKS}.
      *
      * @param attempt the attempt
      * @param chunks the number of chunks
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionStreamsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionStreamsTest.java
@@ -62,14 +62,14 @@
         companion.frame(1, prompt(1));
         int chunk = 0;
         for (long link = 2; link <= 4; link++) {
-            for (int more = 0; more < CompanionEffect.INITIAL_CHUNKS; more++, chunk++) {
+            for (int more = 0; more < CompanionEffect.INITIAL_WINDOW_CHUNKS; more++, chunk++) {
                 companion.chunk(1, "x", "v1");
             }
             companion.openLink(link);
             companion.effects.clear();
             companion.frame(link, new Frame.Resume(id(1), INCARNATION, chunk));
             assertThat(companion.all(CompanionEffect.ReadMore.class))
-                    .containsExactly(new CompanionEffect.ReadMore(id(1), CompanionEffect.INITIAL_CHUNKS));
+                    .containsExactly(new CompanionEffect.ReadMore(id(1), CompanionEffect.INITIAL_WINDOW_CHUNKS));
         }
     }
 
@@ -186,7 +186,7 @@
     void aTargetThatMakesNoProgressIsSaidToBeSilentButASlowCallerIsNot() {
         companion.frame(1, prompt(1));
         companion.frame(1, prompt(2));
-        LongStream.range(0, CompanionEffect.INITIAL_CHUNKS).forEach(chunk -> companion.chunk(2, "x", "v1"));
+        LongStream.range(0, CompanionEffect.INITIAL_WINDOW_CHUNKS).forEach(chunk -> companion.chunk(2, "x", "v1"));
         companion.pass(1_950, 1);
         assertThat(failures(1)).isEmpty();
         companion.pass(50, 1);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/TargetCall.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/TargetCall.java
@@ -12,7 +12,7 @@
     private final AttemptId attempt;
     private final Consumer<CompanionEvent> publish;
     private final Runnable ended;
-    private int window = CompanionEffect.INITIAL_CHUNKS;
+    private int window = CompanionEffect.INITIAL_WINDOW_CHUNKS;
     private boolean over;
     private volatile HttpCall call;
     private volatile boolean cancelled;
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/companion/EngineCallTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/companion/EngineCallTest.java
@@ -151,16 +151,16 @@
         EngineCall call = call(0, false);
         call.head(200, EVENT_STREAM);
         StringBuilder stream = new StringBuilder();
-        for (int number = 0; number < CompanionEffect.INITIAL_CHUNKS + 3; number++) {
+        for (int number = 0; number < CompanionEffect.INITIAL_WINDOW_CHUNKS + 3; number++) {
             stream.append(event(number));
         }
 
         assertThat(call.part(bytes(stream + DONE))).isFalse();
-        assertThat(events).hasSize(1 + CompanionEffect.INITIAL_CHUNKS);
+        assertThat(events).hasSize(1 + CompanionEffect.INITIAL_WINDOW_CHUNKS);
 
         call.readMore(2);
         assertThat(call.resume()).isFalse();
-        assertThat(events).hasSize(3 + CompanionEffect.INITIAL_CHUNKS);
+        assertThat(events).hasSize(3 + CompanionEffect.INITIAL_WINDOW_CHUNKS);
 
         call.readMore(1);
         assertThat(call.resume()).isTrue();
