--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
@@ -18,10 +18,10 @@
     void limit(AdmissionLimits limits);
 
     /** Takes a request, or refuses it because it can't start in time or is the least urgent of too many. */
-    Decision<T> offer(Applicant<T> applicant, long nowMicros);
+    Decision<T> offer(AdmissionRequest<T> applicant, long nowMicros);
 
     /** Returns whether a request would be refused because it can't start in time, without taking it. */
-    boolean wouldBeTooLate(Applicant<T> applicant, long nowMicros);
+    boolean wouldBeTooLate(AdmissionRequest<T> applicant, long nowMicros);
 
     /** Gives the next request a place, if one is free for it. */
     Optional<T> start(long nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Applicant.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/AdmissionRequest.java
@@ -13,5 +13,5 @@
  * @param dueMicros when the first byte of its answer is due
  * @param <T> the type of what names it
  */
-public record Applicant<T>(
+public record AdmissionRequest<T>(
         T item, CustomerName customer, int share, String requestClass, int priority, long dueMicros) {}
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -37,7 +37,7 @@
 
     private final Map<T, Running<T>> running = new HashMap<>();
     private final Set<T> awaitingFirstByte = new HashSet<>();
-    private final Map<T, Applicant<T>> applicants = new HashMap<>();
+    private final Map<T, AdmissionRequest<T>> applicants = new HashMap<>();
     private final ServiceTimes times = new ServiceTimes();
     private final FirstByteTimes firstBytes = new FirstByteTimes();
     private final LoadMeter meter = new LoadMeter();
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public Decision<T> offer(Applicant<T> applicant, long nowMicros) {
+    public Decision<T> offer(AdmissionRequest<T> applicant, long nowMicros) {
         Ticket<T> ticket = ticket(applicant);
         long wait = waitMicros(ticket, nowMicros);
         if (isTooLate(ticket, applicant.dueMicros(), wait, nowMicros)) {
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public boolean wouldBeTooLate(Applicant<T> applicant, long nowMicros) {
+    public boolean wouldBeTooLate(AdmissionRequest<T> applicant, long nowMicros) {
         Ticket<T> ticket = ticket(applicant);
         return isTooLate(ticket, applicant.dueMicros(), waitMicros(ticket, nowMicros), nowMicros);
     }
@@ -212,7 +212,7 @@
         return leftMicros < 0 || waitMicros > PATIENCE * leftMicros;
     }
 
-    private Ticket<T> ticket(Applicant<T> applicant) {
+    private Ticket<T> ticket(AdmissionRequest<T> applicant) {
         return new Ticket<>(
                 applicant.item(),
                 applicant.customer(),
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.function.LongFunction;
 import org.rattanrudder.core.admission.Admission;
-import org.rattanrudder.core.admission.Applicant;
+import org.rattanrudder.core.admission.AdmissionRequest;
 import org.rattanrudder.core.admission.RetryTimes;
 import org.rattanrudder.core.call.Usage;
 import org.rattanrudder.core.claims.RecordedAnswer;
@@ -271,14 +271,14 @@
         fill(attempt.target(), turn);
     }
 
-    private static Applicant<AttemptId> applicant(Attempt attempt) {
+    private static AdmissionRequest<AttemptId> applicant(Attempt attempt) {
         Frame.Dispatch dispatch = attempt.dispatch();
         int share = attempt.target()
                 .document()
                 .customer(dispatch.customer())
                 .map(CustomerSettings::share)
                 .orElse(1);
-        return new Applicant<>(
+        return new AdmissionRequest<>(
                 attempt.id(),
                 dispatch.customer(),
                 share,
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
@@ -28,7 +28,7 @@
         long now = 0;
         for (int step = 0; step < 200; step++) {
             now += random.nextInt(100_000);
-            Applicant<Integer> applicant = check(step, random.nextInt(3), now + random.nextInt(2_000_000));
+            AdmissionRequest<Integer> applicant = check(step, random.nextInt(3), now + random.nextInt(2_000_000));
             if (admission.offer(applicant, now) instanceof Admission.Queued<Integer> queued) {
                 inside += queued.evicted().isPresent() ? 0 : 1;
             }
@@ -112,7 +112,7 @@
         return admission;
     }
 
-    private static Applicant<Integer> check(int item, int priority, long dueMicros) {
-        return new Applicant<>(item, DEPOT, 1, priority == 0 ? "check" : "audit", priority, dueMicros);
+    private static AdmissionRequest<Integer> check(int item, int priority, long dueMicros) {
+        return new AdmissionRequest<>(item, DEPOT, 1, priority == 0 ? "check" : "audit", priority, dueMicros);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/OneAtATimeEngineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/OneAtATimeEngineTest.java
@@ -92,16 +92,16 @@
         return now + micros;
     }
 
-    private static Applicant<Integer> check(int item, long dueMicros) {
-        return new Applicant<>(item, new CustomerName("depo"), 1, "check", 0, dueMicros);
+    private static AdmissionRequest<Integer> check(int item, long dueMicros) {
+        return new AdmissionRequest<>(item, new CustomerName("depo"), 1, "check", 0, dueMicros);
     }
 
     private void arrive(long now) {
         int item = arrivals.size();
         arrivals.add(now);
         CustomerName customer = new CustomerName("depo-" + item % 3);
-        Applicant<Integer> applicant =
-                new Applicant<>(item, customer, item % 3 == 0 ? 40 : 30, "check", 0, now + DEADLINE);
+        AdmissionRequest<Integer> applicant =
+                new AdmissionRequest<>(item, customer, item % 3 == 0 ? 40 : 30, "check", 0, now + DEADLINE);
         if (admission.offer(applicant, now) instanceof Admission.Queued<Integer> queued) {
             refusedLate += queued.evicted().isPresent() ? 1 : 0;
         } else {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionSimulation.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionSimulation.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import java.util.function.LongConsumer;
 import org.rattanrudder.core.admission.Admission;
-import org.rattanrudder.core.admission.Applicant;
+import org.rattanrudder.core.admission.AdmissionRequest;
 import org.rattanrudder.core.model.CustomerName;
 
 /** Offers requests to one target's admission at random times, and measures what became of them. */
@@ -99,7 +99,7 @@
     private void arrive(Request request, long now) {
         requests.add(request);
         Load load = request.load;
-        Applicant<Request> applicant = new Applicant<>(
+        AdmissionRequest<Request> applicant = new AdmissionRequest<>(
                 request,
                 load.customer(),
                 load.share(),
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.rattanrudder.core.admission.Admission;
 import org.rattanrudder.core.admission.AdmissionLimits;
-import org.rattanrudder.core.admission.Applicant;
+import org.rattanrudder.core.admission.AdmissionRequest;
 
 /** The naive admission: first come, first served, until the queue is full. */
 final class FifoAdmission<T> implements Admission<T> {
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public Decision<T> offer(Applicant<T> applicant, long nowMicros) {
+    public Decision<T> offer(AdmissionRequest<T> applicant, long nowMicros) {
         if (queue.size() >= limits.queueLength()) {
             return new Refused<>(Reason.FULL, 0);
         }
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public boolean wouldBeTooLate(Applicant<T> applicant, long nowMicros) {
+    public boolean wouldBeTooLate(AdmissionRequest<T> applicant, long nowMicros) {
         return false;
     }
 
