--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/RetryTimes.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/RetryAfterPolicy.java
@@ -3,7 +3,7 @@
 import java.util.random.RandomGenerator;
 
 /** Chooses when a refused caller should come back. */
-public final class RetryTimes {
+public final class RetryAfterPolicy {
     private static final long SHORTEST_SPREAD_MILLIS = 1_000;
     private static final long LONGEST_MILLIS = 60_000;
     private static final long MICROS_PER_MILLI = 1_000;
@@ -11,7 +11,7 @@
     private final RandomGenerator random;
 
     /** Creates one that draws from this generator. */
-    public RetryTimes(RandomGenerator random) {
+    public RetryAfterPolicy(RandomGenerator random) {
         this.random = random;
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.rattanrudder.core.Machine;
-import org.rattanrudder.core.admission.RetryTimes;
+import org.rattanrudder.core.admission.RetryAfterPolicy;
 import org.rattanrudder.core.claims.ClaimSettings;
 import org.rattanrudder.core.document.DocumentReader;
 import org.rattanrudder.core.frame.Frame;
@@ -60,7 +60,7 @@
         Tombstones tombstones = new Tombstones();
         targets = new Targets(settings.advertised());
         documents = new DocumentsInForce(reader);
-        runs = new Runs(attempts, tombstones, gate, mover, new RetryTimes(random));
+        runs = new Runs(attempts, tombstones, gate, mover, new RetryAfterPolicy(random));
         intake = new Intake(settings.incarnation(), targets, attempts, tombstones, runs);
         answers = new Answers(attempts, gate, runs);
         supervision = new Supervision(attempts, intake, runs);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
@@ -4,7 +4,7 @@
 import java.util.function.LongFunction;
 import org.rattanrudder.core.admission.Admission;
 import org.rattanrudder.core.admission.AdmissionRequest;
-import org.rattanrudder.core.admission.RetryTimes;
+import org.rattanrudder.core.admission.RetryAfterPolicy;
 import org.rattanrudder.core.call.Usage;
 import org.rattanrudder.core.claims.RecordedAnswer;
 import org.rattanrudder.core.document.CustomerSettings;
@@ -21,9 +21,9 @@
     private final Tombstones tombstones;
     private final KeyGate gate;
     private final ContextMover mover;
-    private final RetryTimes retryTimes;
+    private final RetryAfterPolicy retryTimes;
 
-    Runs(Attempts attempts, Tombstones tombstones, KeyGate gate, ContextMover mover, RetryTimes retryTimes) {
+    Runs(Attempts attempts, Tombstones tombstones, KeyGate gate, ContextMover mover, RetryAfterPolicy retryTimes) {
         this.attempts = attempts;
         this.tombstones = tombstones;
         this.gate = gate;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/RetryTimesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/RetryTimesTest.java
@@ -17,7 +17,7 @@
     @ParameterizedTest
     @ValueSource(longs = {0, 300_000, 5_000_000, 10_000_000_000L})
     void callersRefusedTogetherComeBackSpreadOut(long waitMicros) {
-        RetryTimes times = new RetryTimes(new Random(3));
+        RetryAfterPolicy times = new RetryAfterPolicy(new Random(3));
         long[] back = new long[CALLERS];
         Arrays.setAll(back, caller -> times.retryAfterMillis(waitMicros));
         Arrays.sort(back);
