--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -61,7 +61,7 @@
     public Decision<T> offer(AdmissionRequest<T> applicant, long nowMicros) {
         Ticket<T> ticket = ticket(applicant);
         long wait = waitMicros(ticket, nowMicros);
-        if (isTooLate(ticket, applicant.dueMicros(), wait, nowMicros)) {
+        if (isTooLate(ticket, applicant.deadlineMicros(), wait, nowMicros)) {
             return new Refused<>(Reason.TOO_LATE, wait);
         }
         applicants.put(ticket.item(), applicant);
@@ -77,7 +77,7 @@
     @Override
     public boolean wouldBeTooLate(AdmissionRequest<T> applicant, long nowMicros) {
         Ticket<T> ticket = ticket(applicant);
-        return isTooLate(ticket, applicant.dueMicros(), waitMicros(ticket, nowMicros), nowMicros);
+        return isTooLate(ticket, applicant.deadlineMicros(), waitMicros(ticket, nowMicros), nowMicros);
     }
 
     @Override
@@ -218,7 +218,7 @@
                 applicant.customer(),
                 applicant.share(),
                 applicant.priority(),
-                applicant.dueMicros() - times.firstByteMicros(applicant.requestClass()),
+                applicant.deadlineMicros() - times.firstByteMicros(applicant.requestClass()),
                 times.costMicros(applicant.requestClass()));
     }
 
