--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -82,10 +82,10 @@
 
     @Override
     public Optional<T> start(long nowMicros) {
-        if (running.size() >= limits.places()) {
+        if (running.size() >= limits.slots()) {
             return Optional.empty();
         }
-        boolean onlyUrgent = lessUrgentRunning >= limits.places() - limits.reservedPlaces();
+        boolean onlyUrgent = lessUrgentRunning >= limits.slots() - limits.reservedPlaces();
         Optional<Ticket<T>> next = line.next(onlyUrgent ? limits.urgentPriority() : Integer.MAX_VALUE);
         if (next.isEmpty()) {
             return Optional.empty();
@@ -234,7 +234,7 @@
     }
 
     private long waitMicros(Ticket<T> newcomer, long nowMicros) {
-        if (running.size() < limits.places() && line.size() == 0) {
+        if (running.size() < limits.slots() && line.size() == 0) {
             return 0;
         }
         int priority = newcomer.priority();
@@ -243,7 +243,7 @@
     }
 
     private Pace pace(int priority, long nowMicros) {
-        double places = Math.max(1, limits.places());
+        double places = Math.max(1, limits.slots());
         double passedOn = line.hasLessUrgent(priority) ? places / FairLine.PARTS : 0;
         double left = places - passedOn - meter.placesBefore(priority, nowMicros);
         return new Pace(left, places / Math.pow(FairLine.PARTS, line.moreUrgentLevels(priority)));
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -40,7 +40,7 @@
 
     @Override
     public Optional<T> start(long nowMicros) {
-        if (running.size() >= limits.places() || queue.isEmpty()) {
+        if (running.size() >= limits.slots() || queue.isEmpty()) {
             return Optional.empty();
         }
         running.add(queue.peek());
