--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/AdmissionLimits.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/AdmissionLimits.java
@@ -4,11 +4,11 @@
  * How much one target takes.
  *
  * @param slots how many requests it runs at once
- * @param reservedPlaces how many of these only urgent requests may take
+ * @param reservedSlots how many of these only urgent requests may take
  * @param urgentPriority requests of this priority or a lower number are urgent
  * @param queueLength how many requests may wait
  */
-public record AdmissionLimits(int slots, int reservedPlaces, int urgentPriority, int queueLength) {
+public record AdmissionLimits(int slots, int reservedSlots, int urgentPriority, int queueLength) {
     /** The fewest places of which one is reserved: with fewer, the rest would be left with too little. */
     private static final int FEWEST_TO_RESERVE = 4;
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -85,7 +85,7 @@
         if (running.size() >= limits.slots()) {
             return Optional.empty();
         }
-        boolean onlyUrgent = lessUrgentRunning >= limits.slots() - limits.reservedPlaces();
+        boolean onlyUrgent = lessUrgentRunning >= limits.slots() - limits.reservedSlots();
         Optional<Ticket<T>> next = line.next(onlyUrgent ? limits.urgentPriority() : Integer.MAX_VALUE);
         if (next.isEmpty()) {
             return Optional.empty();
