--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
@@ -15,7 +15,7 @@
  */
 public interface Admission<T> {
     /** Takes new limits; what runs and waits stays. */
-    void limit(AdmissionLimits limits);
+    void updateLimits(AdmissionLimits limits);
 
     /** Takes a request, or refuses it because it can't start in time or is the least urgent of too many. */
     Decision<T> offer(AdmissionRequest<T> applicant, long nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void limit(AdmissionLimits newLimits) {
+    public void updateLimits(AdmissionLimits newLimits) {
         limits = newLimits;
         line.limit(newLimits.queueLength());
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/HeldTarget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/HeldTarget.java
@@ -43,7 +43,7 @@
         document = newDocument;
         settings = newSettings;
         released = false;
-        admission.limit(limits());
+        admission.updateLimits(limits());
     }
 
     ServiceDocument document() {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -20,7 +20,7 @@
     }
 
     @Override
-    public void limit(AdmissionLimits newLimits) {
+    public void updateLimits(AdmissionLimits newLimits) {
         limits = newLimits;
     }
 
