--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
@@ -21,7 +21,7 @@
     Decision<T> offer(AdmissionRequest<T> applicant, long nowMicros);
 
     /** Returns whether a request would be refused because it can't start in time, without taking it. */
-    boolean wouldBeTooLate(AdmissionRequest<T> applicant, long nowMicros);
+    boolean wouldMissDeadline(AdmissionRequest<T> applicant, long nowMicros);
 
     /** Gives the next request a place, if one is free for it. */
     Optional<T> start(long nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public boolean wouldBeTooLate(AdmissionRequest<T> applicant, long nowMicros) {
+    public boolean wouldMissDeadline(AdmissionRequest<T> applicant, long nowMicros) {
         Ticket<T> ticket = ticket(applicant);
         return isTooLate(ticket, applicant.deadlineMicros(), waitMicros(ticket, nowMicros), nowMicros);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
@@ -36,7 +36,7 @@
         attempts.add(attempt);
         // A claim is made in the log, for good: none is spent on an attempt that would be refused afterwards.
         if (attempt.dispatch().idempotencyKey().isPresent()
-                && attempt.target().admission().wouldBeTooLate(applicant(attempt), turn.nowMicros())) {
+                && attempt.target().admission().wouldMissDeadline(applicant(attempt), turn.nowMicros())) {
             refuse(attempt, ErrorKind.DEADLINE_UNREACHABLE, "", turn);
             return;
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public boolean wouldBeTooLate(AdmissionRequest<T> applicant, long nowMicros) {
+    public boolean wouldMissDeadline(AdmissionRequest<T> applicant, long nowMicros) {
         return false;
     }
 
