--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
@@ -24,7 +24,7 @@
     boolean wouldMissDeadline(AdmissionRequest<T> applicant, long nowMicros);
 
     /** Gives the next request a place, if one is free for it. */
-    Optional<T> start(long nowMicros);
+    Optional<T> startNext(long nowMicros);
 
     /** Takes note of the first byte of the answer of a request that has its place. */
     void firstByte(T item, long nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public Optional<T> start(long nowMicros) {
+    public Optional<T> startNext(long nowMicros) {
         if (running.size() >= limits.slots()) {
             return Optional.empty();
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
@@ -50,9 +50,9 @@
             return;
         }
         Admission<AttemptId> admission = target.admission();
-        for (Optional<AttemptId> next = admission.start(turn.nowMicros());
+        for (Optional<AttemptId> next = admission.startNext(turn.nowMicros());
                 next.isPresent();
-                next = admission.start(turn.nowMicros())) {
+                next = admission.startNext(turn.nowMicros())) {
             Attempt attempt = attempts.find(next.get());
             attempt.fetch(turn.nowMicros());
             if (attempt.isPrompt()) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
@@ -33,7 +33,7 @@
                 inside += queued.evicted().isPresent() ? 0 : 1;
             }
             while (random.nextBoolean()) {
-                admission.start(now).ifPresent(running::add);
+                admission.startNext(now).ifPresent(running::add);
             }
             if (!running.isEmpty() && random.nextBoolean()) {
                 admission.finished(running.remove(0), now);
@@ -51,7 +51,7 @@
         FairAdmission<Integer> admission = measured(1, SECOND);
         for (int item = 1; item <= 3; item++) {
             assertThat(admission.offer(check(item, 0, 10 * SECOND), SECOND)).isInstanceOf(Admission.Queued.class);
-            admission.start(SECOND);
+            admission.startNext(SECOND);
         }
         assertThat(admission.offer(check(4, 0, 2 * SECOND), SECOND))
                 .isEqualTo(new Admission.Refused<Integer>(Admission.Reason.TOO_LATE, 3 * SECOND));
@@ -67,7 +67,7 @@
         for (int item = 1; item <= 18; item++) {
             admission.offer(check(item, 0, 5 * SECOND), SECOND);
         }
-        admission.start(SECOND);
+        admission.startNext(SECOND);
         assertThat(admission.unreachable(SECOND)).isEmpty();
 
         admission.finished(1, 4 * SECOND);
@@ -84,7 +84,7 @@
         FairAdmission<Integer> admission = measured(1, 100 * SECOND);
 
         assertThat(admission.offer(check(1, 0, 2 * SECOND), SECOND)).isInstanceOf(Admission.Queued.class);
-        assertThat(admission.start(SECOND)).contains(1);
+        assertThat(admission.startNext(SECOND)).contains(1);
     }
 
     /**
@@ -95,18 +95,18 @@
         FairAdmission<Integer> admission = new FairAdmission<>(AdmissionLimits.of(8, 0, 100));
         for (int item = 0; item < 20; item++) {
             admission.offer(check(item, 5, 1_000 * SECOND), 0);
-            admission.start(0);
+            admission.startNext(0);
         }
         assertThat(admission.running()).isEqualTo(7);
 
         admission.offer(check(99, 0, SECOND), 0);
-        assertThat(admission.start(0)).contains(99);
+        assertThat(admission.startNext(0)).contains(99);
     }
 
     private static FairAdmission<Integer> measured(int places, long heldMicros) {
         FairAdmission<Integer> admission = new FairAdmission<>(AdmissionLimits.of(places, 0, 100));
         admission.offer(check(-1, 0, Long.MAX_VALUE / 2), 0);
-        admission.start(0);
+        admission.startNext(0);
         admission.firstByte(-1, heldMicros);
         admission.finished(-1, heldMicros);
         return admission;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/OneAtATimeEngineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/OneAtATimeEngineTest.java
@@ -80,13 +80,13 @@
 
         for (int item = 200; item < 202; item++) {
             small.offer(check(item, now + SECOND), now);
-            small.start(now);
+            small.startNext(now);
         }
         assertThat(small.offer(check(300, now + SECOND), now)).isInstanceOf(Admission.Queued.class);
     }
 
     private static long answerNext(FairAdmission<Integer> admission, long now, long micros) {
-        int item = admission.start(now).orElseThrow();
+        int item = admission.startNext(now).orElseThrow();
         admission.firstByte(item, now + micros);
         admission.finished(item, now + micros);
         return now + micros;
@@ -127,7 +127,7 @@
     }
 
     private void fill(long now) {
-        admission.start(now).ifPresent(item -> {
+        admission.startNext(now).ifPresent(item -> {
             computedAt = inside.isEmpty() ? Math.max(computedAt, now + COMPUTE) : computedAt;
             inside.add(item);
             fill(now);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionSimulation.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionSimulation.java
@@ -121,7 +121,7 @@
 
     private void fill(long now) {
         while (true) {
-            Request next = admission.start(now).orElse(null);
+            Request next = admission.startNext(now).orElse(null);
             if (next == null) {
                 return;
             }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public Optional<T> start(long nowMicros) {
+    public Optional<T> startNext(long nowMicros) {
         if (running.size() >= limits.slots() || queue.isEmpty()) {
             return Optional.empty();
         }
