--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
@@ -27,7 +27,7 @@
     Optional<T> startNext(long nowMicros);
 
     /** Takes note of the first byte of the answer of a request that has its place. */
-    void firstByte(T item, long nowMicros);
+    void onFirstByte(T item, long nowMicros);
 
     /** Takes back the place of a request whose answer is whole, and learns what it cost. */
     void finished(T item, long nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -102,7 +102,7 @@
     }
 
     @Override
-    public void firstByte(T item, long nowMicros) {
+    public void onFirstByte(T item, long nowMicros) {
         Running<T> started = running.get(item);
         if (started != null) {
             if (awaitingFirstByte.remove(item)) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Attempt.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Attempt.java
@@ -169,7 +169,7 @@
     void firstByte(long nowMicros) {
         if (firstByteMicros == NOT_YET) {
             firstByteMicros = nowMicros;
-            target.admission().firstByte(id(), nowMicros);
+            target.admission().onFirstByte(id(), nowMicros);
         }
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
@@ -107,7 +107,7 @@
         FairAdmission<Integer> admission = new FairAdmission<>(AdmissionLimits.of(places, 0, 100));
         admission.offer(check(-1, 0, Long.MAX_VALUE / 2), 0);
         admission.startNext(0);
-        admission.firstByte(-1, heldMicros);
+        admission.onFirstByte(-1, heldMicros);
         admission.finished(-1, heldMicros);
         return admission;
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/OneAtATimeEngineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/OneAtATimeEngineTest.java
@@ -87,7 +87,7 @@
 
     private static long answerNext(FairAdmission<Integer> admission, long now, long micros) {
         int item = admission.startNext(now).orElseThrow();
-        admission.firstByte(item, now + micros);
+        admission.onFirstByte(item, now + micros);
         admission.finished(item, now + micros);
         return now + micros;
     }
@@ -113,7 +113,7 @@
     private void compute(long now) {
         if (!inside.isEmpty() && now >= computedAt) {
             int item = inside.remove();
-            admission.firstByte(item, now);
+            admission.onFirstByte(item, now);
             answeredInTime += now - arrivals.get(item) <= DEADLINE ? 1 : 0;
             answeredLate += now - arrivals.get(item) > DEADLINE ? 1 : 0;
             decoding.add(item);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionSimulation.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionSimulation.java
@@ -126,7 +126,7 @@
                 return;
             }
             next.startedMicros = now;
-            at(now + Math.round(next.heldMicros * FIRST_BYTE_PART), then -> admission.firstByte(next, then));
+            at(now + Math.round(next.heldMicros * FIRST_BYTE_PART), then -> admission.onFirstByte(next, then));
             at(now + next.heldMicros, then -> {
                 admission.finished(next, then);
                 fill(then);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void firstByte(T item, long nowMicros) {}
+    public void onFirstByte(T item, long nowMicros) {}
 
     @Override
     public void finished(T item, long nowMicros) {
