--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
@@ -30,7 +30,7 @@
     void onFirstByte(T item, long nowMicros);
 
     /** Takes back the place of a request whose answer is whole, and learns what it cost. */
-    void finished(T item, long nowMicros);
+    void onFinished(T item, long nowMicros);
 
     /** Takes back the place of a request that broke off, or takes out one that waits; else nothing happens. */
     void withdraw(T item);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -113,7 +113,7 @@
     }
 
     @Override
-    public void finished(T item, long nowMicros) {
+    public void onFinished(T item, long nowMicros) {
         Running<T> ended = stop(item);
         if (ended != null) {
             long held = nowMicros - ended.sinceMicros();
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
@@ -138,7 +138,7 @@
                 fetched.bytes(),
                 measured.completionTokens(),
                 attempt.startedMicros() - attempt.acceptedMicros());
-        attempt.target().admission().finished(attempt.id(), turn.nowMicros());
+        attempt.target().admission().onFinished(attempt.id(), turn.nowMicros());
         if (attempt.isPrompt()) {
             int computed = measured.promptTokens() - measured.cachedTokens();
             attempt.target().prefillSpeed().measured(computed, attempt.firstByteMicros() - attempt.startedMicros());
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
@@ -36,7 +36,7 @@
                 admission.startNext(now).ifPresent(running::add);
             }
             if (!running.isEmpty() && random.nextBoolean()) {
-                admission.finished(running.remove(0), now);
+                admission.onFinished(running.remove(0), now);
                 inside--;
             }
             inside -= admission.unreachable(now).size();
@@ -70,7 +70,7 @@
         admission.startNext(SECOND);
         assertThat(admission.unreachable(SECOND)).isEmpty();
 
-        admission.finished(1, 4 * SECOND);
+        admission.onFinished(1, 4 * SECOND);
         admission.offer(check(19, 0, 60 * SECOND), 4 * SECOND);
         assertThat(admission.unreachable(4 * SECOND)).contains(18).doesNotContain(2, 19);
     }
@@ -108,7 +108,7 @@
         admission.offer(check(-1, 0, Long.MAX_VALUE / 2), 0);
         admission.startNext(0);
         admission.onFirstByte(-1, heldMicros);
-        admission.finished(-1, heldMicros);
+        admission.onFinished(-1, heldMicros);
         return admission;
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/OneAtATimeEngineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/OneAtATimeEngineTest.java
@@ -88,7 +88,7 @@
     private static long answerNext(FairAdmission<Integer> admission, long now, long micros) {
         int item = admission.startNext(now).orElseThrow();
         admission.onFirstByte(item, now + micros);
-        admission.finished(item, now + micros);
+        admission.onFinished(item, now + micros);
         return now + micros;
     }
 
@@ -122,7 +122,7 @@
         }
         while (!decodedAt.isEmpty() && decodedAt.peek() <= now) {
             decodedAt.remove();
-            admission.finished(decoding.remove(), now);
+            admission.onFinished(decoding.remove(), now);
         }
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionSimulation.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionSimulation.java
@@ -128,7 +128,7 @@
             next.startedMicros = now;
             at(now + Math.round(next.heldMicros * FIRST_BYTE_PART), then -> admission.onFirstByte(next, then));
             at(now + next.heldMicros, then -> {
-                admission.finished(next, then);
+                admission.onFinished(next, then);
                 fill(then);
             });
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -51,7 +51,7 @@
     public void onFirstByte(T item, long nowMicros) {}
 
     @Override
-    public void finished(T item, long nowMicros) {
+    public void onFinished(T item, long nowMicros) {
         running.remove(item);
     }
 
