--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
@@ -33,7 +33,7 @@
     void onFinished(T item, long nowMicros);
 
     /** Takes back the place of a request that broke off, or takes out one that waits; else nothing happens. */
-    void withdraw(T item);
+    void cancel(T item);
 
     /** Takes out those that wait and can't start in time any more. */
     List<T> unreachable(long nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public void withdraw(T item) {
+    public void cancel(T item) {
         if (stop(item) == null) {
             line.remove(item);
             applicants.remove(item);
@@ -136,7 +136,7 @@
         for (int priority : line.priorities()) {
             addLate(priority, late, nowMicros);
         }
-        late.forEach(this::withdraw);
+        late.forEach(this::cancel);
         noteWaiting(nowMicros);
         return late;
     }
@@ -147,7 +147,7 @@
         for (int priority : line.priorities()) {
             line.inOrder(priority).forEach(ticket -> all.add(ticket.item()));
         }
-        all.forEach(this::withdraw);
+        all.forEach(this::cancel);
         return all;
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
@@ -249,7 +249,7 @@
     /** Ends an attempt that never ran; the refusal may depend on the queue's wait in microseconds without it. */
     private void neverRun(Attempt attempt, LongFunction<Refusal> refusalByQueueWait, Turn turn) {
         Admission<AttemptId> admission = attempt.target().admission();
-        admission.withdraw(attempt.id());
+        admission.cancel(attempt.id());
         attempt.enter(Attempt.Stage.ENDED);
         attempts.remove(attempt);
         long wait = admission.waitMicros(attempt.dispatch().priority(), turn.nowMicros());
@@ -267,7 +267,7 @@
         if (attempt.isAbandoned()) {
             forget(attempt);
         }
-        attempt.target().admission().withdraw(attempt.id());
+        attempt.target().admission().cancel(attempt.id());
         fill(attempt.target(), turn);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public void withdraw(T item) {
+    public void cancel(T item) {
         if (!running.remove(item)) {
             queue.remove(item);
         }
