--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
@@ -36,7 +36,7 @@
     void cancel(T item);
 
     /** Takes out those that wait and can't start in time any more. */
-    List<T> unreachable(long nowMicros);
+    List<T> removeLate(long nowMicros);
 
     /** Takes out all that wait. */
     List<T> clear();
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -131,7 +131,7 @@
     }
 
     @Override
-    public List<T> unreachable(long nowMicros) {
+    public List<T> removeLate(long nowMicros) {
         List<T> late = new ArrayList<>();
         for (int priority : line.priorities()) {
             addLate(priority, late, nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
@@ -92,7 +92,7 @@
             refuseQueued(target, ErrorKind.TARGET_UNREACHABLE, turn);
             return;
         }
-        for (AttemptId late : target.admission().unreachable(turn.nowMicros())) {
+        for (AttemptId late : target.admission().removeLate(turn.nowMicros())) {
             refuse(attempts.find(late), ErrorKind.DEADLINE_UNREACHABLE, "", turn);
         }
         fill(target, turn);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
@@ -39,7 +39,7 @@
                 admission.onFinished(running.remove(0), now);
                 inside--;
             }
-            inside -= admission.unreachable(now).size();
+            inside -= admission.removeLate(now).size();
             assertThat(admission.running()).isEqualTo(running.size()).isLessThanOrEqualTo(places);
             assertThat(admission.waiting()).isLessThanOrEqualTo(queueLength);
             assertThat(admission.running() + admission.waiting()).isEqualTo(inside);
@@ -68,11 +68,11 @@
             admission.offer(check(item, 0, 5 * SECOND), SECOND);
         }
         admission.startNext(SECOND);
-        assertThat(admission.unreachable(SECOND)).isEmpty();
+        assertThat(admission.removeLate(SECOND)).isEmpty();
 
         admission.onFinished(1, 4 * SECOND);
         admission.offer(check(19, 0, 60 * SECOND), 4 * SECOND);
-        assertThat(admission.unreachable(4 * SECOND)).contains(18).doesNotContain(2, 19);
+        assertThat(admission.removeLate(4 * SECOND)).contains(18).doesNotContain(2, 19);
     }
 
     /**
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/OneAtATimeEngineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/OneAtATimeEngineTest.java
@@ -45,7 +45,7 @@
             }
             compute(now);
             if (now % 50_000 == 0) {
-                refusedLate += admission.unreachable(now).size();
+                refusedLate += admission.removeLate(now).size();
             }
             fill(now);
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionSimulation.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionSimulation.java
@@ -115,7 +115,7 @@
     }
 
     private void tick(long now) {
-        admission.unreachable(now).forEach(late -> late.refusedMicros = now);
+        admission.removeLate(now).forEach(late -> late.refusedMicros = now);
         fill(now);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public List<T> unreachable(long nowMicros) {
+    public List<T> removeLate(long nowMicros) {
         return List.of();
     }
 
