--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
@@ -39,7 +39,7 @@
     List<T> removeLate(long nowMicros);
 
     /** Takes out all that wait. */
-    List<T> clear();
+    List<T> removeAllQueued();
 
     /** Returns how long a newcomer of this priority would wait, in microseconds. */
     long waitMicros(int priority, long nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -142,7 +142,7 @@
     }
 
     @Override
-    public List<T> clear() {
+    public List<T> removeAllQueued() {
         List<T> all = new ArrayList<>();
         for (int priority : line.priorities()) {
             line.inOrder(priority).forEach(ticket -> all.add(ticket.item()));
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
@@ -74,7 +74,7 @@
 
     /** Refuses what waits at a target. */
     void refuseQueued(HeldTarget target, ErrorKind kind, Turn turn) {
-        for (AttemptId waiting : target.admission().clear()) {
+        for (AttemptId waiting : target.admission().removeAllQueued()) {
             refuse(attempts.find(waiting), kind, "", turn);
         }
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public List<T> clear() {
+    public List<T> removeAllQueued() {
         List<T> all = List.copyOf(queue);
         queue.clear();
         return all;
