--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
@@ -42,7 +42,7 @@
     List<T> removeAllQueued();
 
     /** Returns how long a newcomer of this priority would wait, in microseconds. */
-    long waitMicros(int priority, long nowMicros);
+    long expectedWaitMicros(int priority, long nowMicros);
 
     /** Returns how many have a place. */
     int running();
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -152,7 +152,7 @@
     }
 
     @Override
-    public long waitMicros(int priority, long nowMicros) {
+    public long expectedWaitMicros(int priority, long nowMicros) {
         return waitMicros(new Ticket<>(null, null, 1, priority, Long.MAX_VALUE, times.costMicros()), nowMicros);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/HeldTarget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/HeldTarget.java
@@ -164,7 +164,7 @@
                 accepting,
                 admission.running(),
                 admission.waiting(),
-                admission.waitMicros(middle, nowMicros),
+                admission.expectedWaitMicros(middle, nowMicros),
                 weightVersion,
                 prefillSpeed.tokensPerSecond(),
                 fetchBytesPerSecond);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Intake.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Intake.java
@@ -101,7 +101,7 @@
                     link,
                     id,
                     objection.get(),
-                    target == null ? 0 : target.admission().waitMicros(dispatch.priority(), turn.nowMicros()),
+                    target == null ? 0 : target.admission().expectedWaitMicros(dispatch.priority(), turn.nowMicros()),
                     turn);
             return;
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
@@ -252,7 +252,7 @@
         admission.cancel(attempt.id());
         attempt.enter(Attempt.Stage.ENDED);
         attempts.remove(attempt);
-        long wait = admission.waitMicros(attempt.dispatch().priority(), turn.nowMicros());
+        long wait = admission.expectedWaitMicros(attempt.dispatch().priority(), turn.nowMicros());
         Refusal refusal = refusalByQueueWait.apply(wait);
         ErrorKind kind = refusal.kind();
         tombstones.add(attempt.id(), kind.runState() == RunState.NOT_RUN ? kind : ErrorKind.STALE_INCARNATION);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -75,7 +75,7 @@
     }
 
     @Override
-    public long waitMicros(int priority, long nowMicros) {
+    public long expectedWaitMicros(int priority, long nowMicros) {
         return 0;
     }
 
