--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
@@ -45,7 +45,7 @@
     long expectedWaitMicros(int priority, long nowMicros);
 
     /** Returns how many have a place. */
-    int running();
+    int runningCount();
 
     /** Returns how many wait. */
     int waiting();
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -157,7 +157,7 @@
     }
 
     @Override
-    public int running() {
+    public int runningCount() {
         return running.size();
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/HeldTarget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/HeldTarget.java
@@ -162,7 +162,7 @@
         return new Frame.TargetState(
                 name(),
                 accepting,
-                admission.running(),
+                admission.runningCount(),
                 admission.waiting(),
                 admission.expectedWaitMicros(middle, nowMicros),
                 weightVersion,
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Targets.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Targets.java
@@ -52,7 +52,7 @@
     void forgetIdle() {
         byName.values()
                 .removeIf(target -> target.isReleased()
-                        && target.admission().running() == 0
+                        && target.admission().runningCount() == 0
                         && target.admission().waiting() == 0);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
@@ -40,9 +40,9 @@
                 inside--;
             }
             inside -= admission.removeLate(now).size();
-            assertThat(admission.running()).isEqualTo(running.size()).isLessThanOrEqualTo(places);
+            assertThat(admission.runningCount()).isEqualTo(running.size()).isLessThanOrEqualTo(places);
             assertThat(admission.waiting()).isLessThanOrEqualTo(queueLength);
-            assertThat(admission.running() + admission.waiting()).isEqualTo(inside);
+            assertThat(admission.runningCount() + admission.waiting()).isEqualTo(inside);
         }
     }
 
@@ -97,7 +97,7 @@
             admission.offer(check(item, 5, 1_000 * SECOND), 0);
             admission.startNext(0);
         }
-        assertThat(admission.running()).isEqualTo(7);
+        assertThat(admission.runningCount()).isEqualTo(7);
 
         admission.offer(check(99, 0, SECOND), 0);
         assertThat(admission.startNext(0)).contains(99);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public int running() {
+    public int runningCount() {
         return running.size();
     }
 
