--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
@@ -48,7 +48,7 @@
     int runningCount();
 
     /** Returns how many wait. */
-    int waiting();
+    int queuedCount();
 
     /**
      * What came of an offer.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -162,7 +162,7 @@
     }
 
     @Override
-    public int waiting() {
+    public int queuedCount() {
         return line.size();
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/HeldTarget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/HeldTarget.java
@@ -163,7 +163,7 @@
                 name(),
                 accepting,
                 admission.runningCount(),
-                admission.waiting(),
+                admission.queuedCount(),
                 admission.expectedWaitMicros(middle, nowMicros),
                 weightVersion,
                 prefillSpeed.tokensPerSecond(),
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Targets.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Targets.java
@@ -53,7 +53,7 @@
         byName.values()
                 .removeIf(target -> target.isReleased()
                         && target.admission().runningCount() == 0
-                        && target.admission().waiting() == 0);
+                        && target.admission().queuedCount() == 0);
     }
 
     private void hold(ServiceDocument document, TargetSettings settings, List<HeldTarget> kept, Turn turn) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
@@ -41,8 +41,8 @@
             }
             inside -= admission.removeLate(now).size();
             assertThat(admission.runningCount()).isEqualTo(running.size()).isLessThanOrEqualTo(places);
-            assertThat(admission.waiting()).isLessThanOrEqualTo(queueLength);
-            assertThat(admission.runningCount() + admission.waiting()).isEqualTo(inside);
+            assertThat(admission.queuedCount()).isLessThanOrEqualTo(queueLength);
+            assertThat(admission.runningCount() + admission.queuedCount()).isEqualTo(inside);
         }
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -85,7 +85,7 @@
     }
 
     @Override
-    public int waiting() {
+    public int queuedCount() {
         return queue.size();
     }
 }
