--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
@@ -53,7 +53,7 @@
     }
 
     /** Takes up a target or a new document for it. */
-    public void serve(ServiceDocument document, TargetSettings target, long nowMicros) {
+    public void updateTarget(ServiceDocument document, TargetSettings target, long nowMicros) {
         movers.computeIfAbsent(
                         target.name(),
                         name -> new TargetMover(target, policy, catalogBlocks, this::nextNumber, random, nowMicros))
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/StoredContextMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/StoredContextMover.java
@@ -32,7 +32,7 @@
         for (HeldTarget target : targets) {
             if (target.isEngine()) {
                 engines.put(target.name(), target);
-                mover.serve(target.document(), target.settings(), turn.nowMicros());
+                mover.updateTarget(target.document(), target.settings(), turn.nowMicros());
             }
         }
         before.stream().filter(name -> !engines.containsKey(name)).forEach(mover::leave);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/CacheRig.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/CacheRig.java
@@ -53,7 +53,7 @@
         document = document(favour, prefillTokensPerSecond, 1, 200_000_000);
         mover = new BlockMover(policy, 4096, new Random(5));
         document.stores().forEach(store -> stores.put(store.address(), new LinkedHashMap<>()));
-        mover.serve(document, document.targets().get(0), 0);
+        mover.updateTarget(document, document.targets().get(0), 0);
     }
 
     static ServiceDocument document(CacheSettings.Favour favour, long prefill, int targets, long linkBytes) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/StateBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/StateBench.java
@@ -49,7 +49,7 @@
     private static void measure(int contexts) {
         TargetSettings target = target();
         BlockMover mover = new BlockMover(MoverPolicy.DEFAULT, 2 * BLOCKS * contexts, new Random(3));
-        mover.serve(document(target), target, 0);
+        mover.updateTarget(document(target), target, 0);
         List<CompanionEffect> effects = new ArrayList<>();
         long now = 10_000_000;
         for (int context = 0; context < contexts; context++) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/World.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/World.java
@@ -58,7 +58,7 @@
         ServiceDocument document = document(shape);
         for (TargetSettings target : document.targets()) {
             BlockMover mover = new BlockMover(policy, BlockMover.CATALOG_BLOCKS, new Random(3));
-            mover.serve(document, target, 0);
+            mover.updateTarget(document, target, 0);
             movers.add(mover);
             names.add(target.name());
             engines.add(new Engine(shape.engineBlocks()));
