--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
@@ -61,7 +61,7 @@
     }
 
     /** Forgets a target; its prompts are abandoned. */
-    public void leave(TargetName target) {
+    public void removeTarget(TargetName target) {
         movers.remove(target);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/StoredContextMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/StoredContextMover.java
@@ -35,7 +35,7 @@
                 mover.updateTarget(target.document(), target.settings(), turn.nowMicros());
             }
         }
-        before.stream().filter(name -> !engines.containsKey(name)).forEach(mover::leave);
+        before.stream().filter(name -> !engines.containsKey(name)).forEach(mover::removeTarget);
     }
 
     @Override
