--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
@@ -18,7 +18,8 @@
  *
  * <p>Before a prompt goes to its engine, {@link #prepare} looks up the blocks that the engine lacks, and decides for
  * each whether to fetch it, to wait for a fetch that runs, or to let the engine compute it. The prompt may go when its
- * {@link ContextReady} is there, which comes within a bound whatever stores and links do. After a run, {@link #ended}
+ * {@link ContextReady} is there, which comes within a bound whatever stores and links do. After a run, {@link
+ * #onCompleted}
  * decides what to export. Nothing that it believes is trusted: a block is fetched only as a store described it a moment
  * ago, and the daemon checks it again.
  *
@@ -90,7 +91,7 @@
      * @param nowMicros the time
      * @param effects takes exports
      */
-    public void ended(
+    public void onCompleted(
             ContextPrompt prompt,
             String weightVersion,
             long prefillTokensPerSecond,
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/StoredContextMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/StoredContextMover.java
@@ -65,7 +65,7 @@
         String version = run.dispatch().weightVersion();
         HeldTarget engine = engines.get(run.target().name());
         long speed = engine == null ? 0 : engine.prefillSpeed().tokensPerSecond();
-        mover.ended(prompt(run, turn), version, speed, turn.nowMicros(), turn.effects());
+        mover.onCompleted(prompt(run, turn), version, speed, turn.nowMicros(), turn.effects());
     }
 
     @Override
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverTest.java
@@ -252,7 +252,7 @@
         ContextPrompt prompt = rig.prompt("dossier", 4);
         rig.prepare(prompt);
         rig.carryOut();
-        rig.mover.ended(prompt, "v2", 0, rig.now, rig.effects::add);
+        rig.mover.onCompleted(prompt, "v2", 0, rig.now, rig.effects::add);
 
         rig.tick(50_000);
         assertThat(rig.take(ExportBlock.class)).isEmpty();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/CacheRig.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/CacheRig.java
@@ -113,7 +113,7 @@
     }
 
     void ended(ContextPrompt prompt) {
-        mover.ended(prompt, prompt.weightVersion(), 0, now, effects::add);
+        mover.onCompleted(prompt, prompt.weightVersion(), 0, now, effects::add);
     }
 
     /** Runs a prompt to its end with working stores, and lets the engine then free all that it holds. */
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/StateBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/StateBench.java
@@ -82,7 +82,7 @@
         ContextPrompt prompt = prompt(context, now);
         mover.prepare(prompt, now, effects::add);
         answer(mover, now, effects);
-        mover.ended(prompt, "v1", 20_000, now, effects::add);
+        mover.onCompleted(prompt, "v1", 20_000, now, effects::add);
         while (!effects.isEmpty()) {
             answer(mover, now, effects);
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/World.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/World.java
@@ -111,7 +111,7 @@
     private void end(Running running) {
         int target = running.prompt().target();
         movers.get(target)
-                .ended(running.context(), "v1", Shape.PREFILL_TOKENS, now, effect -> carryOut(target, effect));
+                .onCompleted(running.context(), "v1", Shape.PREFILL_TOKENS, now, effect -> carryOut(target, effect));
         tickLater(target);
     }
 
