--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
@@ -104,7 +104,7 @@
     }
 
     /** Forgets a prompt that was cancelled or failed; none of its events follow. */
-    public void abandon(TargetName target, AttemptId attempt) {
+    public void cancel(TargetName target, AttemptId attempt) {
         TargetMover mover = movers.get(target);
         if (mover != null) {
             mover.abandon(attempt);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/StoredContextMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/StoredContextMover.java
@@ -55,7 +55,7 @@
     public void dropped(AttemptId attempt, Turn turn) {
         Waiting prompt = waiting.remove(attempt);
         if (prompt != null) {
-            mover.abandon(prompt.target, attempt);
+            mover.cancel(prompt.target, attempt);
         }
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverPropertiesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverPropertiesTest.java
@@ -97,7 +97,7 @@
                 rig.evict();
             } else if (choice == 7 && !waiting.isEmpty()) {
                 AttemptId attempt = waiting.keySet().iterator().next();
-                rig.mover.abandon(CacheRig.TARGET, attempt);
+                rig.mover.cancel(CacheRig.TARGET, attempt);
                 waiting.remove(attempt);
             } else if (!open.isEmpty()) {
                 answer(open.remove(random.nextInt(open.size())));
