--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
@@ -32,7 +32,7 @@
  */
 public final class BlockMover {
     /** How many blocks hints are kept of, for each target: at most 3 MB. */
-    public static final int CATALOG_BLOCKS = 1 << 15;
+    public static final int MAX_CATALOG_BLOCKS = 1 << 15;
 
     private final MoverPolicy policy;
     private final int catalogBlocks;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/StoredContextMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/StoredContextMover.java
@@ -22,7 +22,7 @@
     private final Map<TargetName, HeldTarget> engines = new HashMap<>();
 
     StoredContextMover(RandomGenerator random) {
-        mover = new BlockMover(MoverPolicy.DEFAULT, BlockMover.CATALOG_BLOCKS, random);
+        mover = new BlockMover(MoverPolicy.DEFAULT, BlockMover.MAX_CATALOG_BLOCKS, random);
     }
 
     @Override
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/World.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/World.java
@@ -57,7 +57,7 @@
         this.ticking = new boolean[shape.targets()];
         ServiceDocument document = document(shape);
         for (TargetSettings target : document.targets()) {
-            BlockMover mover = new BlockMover(policy, BlockMover.CATALOG_BLOCKS, new Random(3));
+            BlockMover mover = new BlockMover(policy, BlockMover.MAX_CATALOG_BLOCKS, new Random(3));
             mover.updateTarget(document, target, 0);
             movers.add(mover);
             names.add(target.name());
