--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/LinkBudget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/LinkBudget.java
@@ -11,7 +11,8 @@
  * budget. Take any window of one second and the move in it that started last: every other move in the window ended at
  * most one second before that start, so it was counted then.
  *
- * <p>A raise takes effect only after {@link #SETTLE_MICROS}. This guards against a link over its budget while a new
+ * <p>A raise takes effect only after {@link #RAISE_DELAY_MICROS}. This guards against a link over its budget while a
+ * new
  * document spreads: a companion that took its new, larger share at once would add to the old shares of others that have
  * not read the document yet. Lower budgets hold at once.
  *
@@ -26,7 +27,7 @@
     /** The window over which the budget holds, in microseconds. */
     public static final long WINDOW_MICROS = 1_000_000;
     /** How long a raise waits: a document is in force everywhere within 4 s. */
-    public static final long SETTLE_MICROS = 5_000_000;
+    public static final long RAISE_DELAY_MICROS = 5_000_000;
     /** Background moves leave this share of the budget to a fetch that may come. */
     private static final double BACKGROUND_SHARE = 0.5;
 
@@ -38,7 +39,7 @@
     private long planned;
 
     /**
-     * Makes a budget that is 0 until {@link #SETTLE_MICROS} have passed.
+     * Makes a budget that is 0 until {@link #RAISE_DELAY_MICROS} have passed.
      *
      * @param bytesPerSecond the budget
      * @param nowMicros the time
@@ -47,7 +48,7 @@
         change(bytesPerSecond, nowMicros);
     }
 
-    /** Changes the budget: at once where it falls, after {@link #SETTLE_MICROS} where it rises. */
+    /** Changes the budget: at once where it falls, after {@link #RAISE_DELAY_MICROS} where it rises. */
     public void change(long bytesPerSecond, long nowMicros) {
         settle(nowMicros);
         if (bytesPerSecond == raisedLimit) {
@@ -55,7 +56,7 @@
         }
         limit = Math.min(limit, bytesPerSecond);
         raisedLimit = bytesPerSecond;
-        raiseMicros = nowMicros + SETTLE_MICROS;
+        raiseMicros = nowMicros + RAISE_DELAY_MICROS;
     }
 
     /** Takes bytes for a fetch that a prompt waits for; returns whether it may start now. */
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/deployment/MainJob.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/deployment/MainJob.java
@@ -41,7 +41,7 @@
     ObjectNode run() throws InterruptedException {
         // A companion moves no block until its document has had time to reach all others. On a fast machine the whole
         // job would be over by then, with nothing exported and nothing to bring back.
-        TimeUnit.MICROSECONDS.sleep(LinkBudget.SETTLE_MICROS);
+        TimeUnit.MICROSECONDS.sleep(LinkBudget.RAISE_DELAY_MICROS);
         Caller caller = new Caller(client, prompts.credential(0));
         int tokens = PIECES * prompts.content().cache().pieceTokens();
         String text = PromptText.of("shift sheet", tokens);
