--- a/rattanrudder-command/src/main/java/org/rattanrudder/command/BurnPlots.java
+++ b/rattanrudder-command/src/main/java/org/rattanrudder/command/BurnPlots.java
@@ -74,7 +74,7 @@
         counts.forEach((bucket, count) -> {
             double height = (double) count / highest * plotHeight();
             double left = LEFT + (bucket - first) * bucketWidth;
-            String tip = count + " answers up to " + BurnTable.millis(LatencyHistogram.highestOf(bucket));
+            String tip = count + " answers up to " + BurnTable.millis(LatencyHistogram.upperBoundMicros(bucket));
             svg.box(
                     left,
                     TOP + plotHeight() - height,
@@ -92,7 +92,7 @@
             int bucket = first + (last - first) * label / (TIME_LABELS - 1);
             String anchor = label == 0 ? "start" : label == TIME_LABELS - 1 ? "end" : "middle";
             double x = LEFT + (bucket - first) * bucketWidth;
-            svg.label(x, HEIGHT - 6, anchor, BurnTable.millis(LatencyHistogram.highestOf(Math.max(0, bucket))));
+            svg.label(x, HEIGHT - 6, anchor, BurnTable.millis(LatencyHistogram.upperBoundMicros(Math.max(0, bucket))));
         }
         return svg.element("answers by time to the first byte");
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/LatencyHistogram.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/LatencyHistogram.java
@@ -40,7 +40,7 @@
     }
 
     /** Returns the largest value in microseconds that falls into the bucket. */
-    public static long highestOf(int bucket) {
+    public static long upperBoundMicros(int bucket) {
         if (bucket < STEPS) {
             return bucket;
         }
@@ -71,7 +71,7 @@
         long seen = 0;
         long highest = 0;
         for (var entry : counts.entrySet()) {
-            highest = highestOf(entry.getKey());
+            highest = upperBoundMicros(entry.getKey());
             seen += entry.getValue();
             if (seen >= rank) {
                 break;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/burn/LatencyHistogramTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/burn/LatencyHistogramTest.java
@@ -19,10 +19,10 @@
         int bucket = LatencyHistogram.bucketOf(micros);
 
         assertThat(bucket).isBetween(0, LatencyHistogram.BUCKETS - 1);
-        assertThat(LatencyHistogram.highestOf(bucket)).isBetween(micros, micros + micros / 16);
-        assertThat(LatencyHistogram.bucketOf(LatencyHistogram.highestOf(bucket)))
+        assertThat(LatencyHistogram.upperBoundMicros(bucket)).isBetween(micros, micros + micros / 16);
+        assertThat(LatencyHistogram.bucketOf(LatencyHistogram.upperBoundMicros(bucket)))
                 .isEqualTo(bucket);
-        assertThat(LatencyHistogram.bucketOf(LatencyHistogram.highestOf(bucket) + 1))
+        assertThat(LatencyHistogram.bucketOf(LatencyHistogram.upperBoundMicros(bucket) + 1))
                 .isBetween(bucket, bucket + 1);
     }
 
