--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
@@ -36,7 +36,7 @@
         attempts.add(attempt);
         // A claim is made in the log, for good: none is spent on an attempt that would be refused afterwards.
         if (attempt.dispatch().idempotencyKey().isPresent()
-                && attempt.target().admission().wouldMissDeadline(applicant(attempt), turn.nowMicros())) {
+                && attempt.target().admission().wouldMissDeadline(admissionRequest(attempt), turn.nowMicros())) {
             refuse(attempt, ErrorKind.DEADLINE_UNREACHABLE, "", turn);
             return;
         }
@@ -197,7 +197,7 @@
             return;
         }
         attempt.enter(Attempt.Stage.QUEUED);
-        Admission.Decision<AttemptId> decision = target.admission().offer(applicant(attempt), turn.nowMicros());
+        Admission.Decision<AttemptId> decision = target.admission().offer(admissionRequest(attempt), turn.nowMicros());
         if (decision instanceof Admission.Refused<AttemptId> refused) {
             ErrorKind kind = kindOf(refused.reason());
             refuse(attempt, queueWait -> refusal(kind, Math.max(queueWait, refused.waitMicros()), ""), turn);
@@ -271,7 +271,7 @@
         fill(attempt.target(), turn);
     }
 
-    private static AdmissionRequest<AttemptId> applicant(Attempt attempt) {
+    private static AdmissionRequest<AttemptId> admissionRequest(Attempt attempt) {
         Frame.Dispatch dispatch = attempt.dispatch();
         int share = attempt.target()
                 .document()
