--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Runs.java
@@ -21,14 +21,14 @@
     private final Tombstones tombstones;
     private final KeyGate gate;
     private final ContextMover mover;
-    private final RetryAfterPolicy retryTimes;
+    private final RetryAfterPolicy retryAfterPolicy;
 
     Runs(Attempts attempts, Tombstones tombstones, KeyGate gate, ContextMover mover, RetryAfterPolicy retryTimes) {
         this.attempts = attempts;
         this.tombstones = tombstones;
         this.gate = gate;
         this.mover = mover;
-        this.retryTimes = retryTimes;
+        this.retryAfterPolicy = retryTimes;
     }
 
     /** Begins with an attempt that nothing speaks against. */
@@ -170,7 +170,7 @@
     /** Returns the refusal of this kind, with a time to come back where that helps. */
     Refusal refusal(ErrorKind kind, long waitMicros, String detail) {
         long retryAfter =
-                kind.retryAdvice() == ErrorKind.RetryAdvice.LATER ? retryTimes.retryAfterMillis(waitMicros) : 0;
+                kind.retryAdvice() == ErrorKind.RetryAdvice.LATER ? retryAfterPolicy.retryAfterMillis(waitMicros) : 0;
         return new Refusal(kind, retryAfter, detail);
     }
 
