--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/RetryTimesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/RetryAfterPolicyTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class RetryTimesTest {
+class RetryAfterPolicyTest {
     private static final int CALLERS = 2_000;
 
     /**
