--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
@@ -12,9 +12,9 @@
 import org.rattanrudder.core.claims.KeyDecision;
 import org.rattanrudder.core.claims.KeyedCall;
 import org.rattanrudder.core.frame.Frame;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.log.LogWriter;
 import org.rattanrudder.core.log.LogWriterSettings;
-import org.rattanrudder.core.log.Stream;
 import org.rattanrudder.core.model.AttemptId;
 import org.rattanrudder.core.model.Refusal;
 import org.rattanrudder.core.model.RunState;
@@ -34,7 +34,7 @@
 
     ClaimGate(CompanionSettings companion, ClaimSettings settings, RandomGenerator random) {
         this.settings = settings;
-        LogWriter writer = new LogWriter(Stream.CLAIMS, companion.incarnation(), LogWriterSettings.DEFAULT, random);
+        LogWriter writer = new LogWriter(LogStream.CLAIMS, companion.incarnation(), LogWriterSettings.DEFAULT, random);
         this.claims = new KeyClaims(companion.incarnation(), companion.instance(), settings, writer, random);
     }
 
@@ -117,11 +117,11 @@
     public void handle(CompanionEvent event, Turn turn) {
         long now = turn.nowMicros();
         KeyDecision.Sink sink = (attempt, decision) -> decideHeld(attempt, decision, turn);
-        if (event instanceof CompanionEvent.LogRead read && read.stream() == Stream.CLAIMS) {
+        if (event instanceof CompanionEvent.LogRead read && read.stream() == LogStream.CLAIMS) {
             claims.read(read.records(), read.caughtUp(), now, sink);
-        } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == Stream.CLAIMS) {
+        } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == LogStream.CLAIMS) {
             claims.readFailed();
-        } else if (event instanceof CompanionEvent.AppendSettled settled && settled.stream() == Stream.CLAIMS) {
+        } else if (event instanceof CompanionEvent.AppendSettled settled && settled.stream() == LogStream.CLAIMS) {
             claims.settled(settled.sequence(), settled.result(), now);
         } else if (event instanceof CompanionEvent.Tick) {
             claims.tick(now, sink);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
@@ -4,7 +4,7 @@
 import org.rattanrudder.core.call.Call;
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.log.LogBatch;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.AttemptId;
 import org.rattanrudder.core.model.Digest;
@@ -199,7 +199,7 @@
      * @param stream the stream
      * @param batch the batch
      */
-    record Append(Stream stream, LogBatch batch) implements CompanionEffect {}
+    record Append(LogStream stream, LogBatch batch) implements CompanionEffect {}
 
     /**
      * Something that an operator may want to see in the log.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEvent.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEvent.java
@@ -6,7 +6,7 @@
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.log.AppendResult;
 import org.rattanrudder.core.log.LogRecord;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.AttemptId;
 import org.rattanrudder.core.model.Digest;
 import org.rattanrudder.core.model.TargetName;
@@ -129,14 +129,14 @@
      * @param records the records
      * @param caughtUp whether the reader has reached the log's end
      */
-    record LogRead(Stream stream, List<LogRecord> records, boolean caughtUp) implements CompanionEvent {}
+    record LogRead(LogStream stream, List<LogRecord> records, boolean caughtUp) implements CompanionEvent {}
 
     /**
      * The log couldn't be read.
      *
      * @param stream the stream
      */
-    record LogReadFailed(Stream stream) implements CompanionEvent {}
+    record LogReadFailed(LogStream stream) implements CompanionEvent {}
 
     /**
      * The log answered an append, or didn't.
@@ -145,7 +145,7 @@
      * @param sequence the batch's sequence
      * @param result the answer
      */
-    record AppendSettled(Stream stream, long sequence, AppendResult result) implements CompanionEvent {}
+    record AppendSettled(LogStream stream, long sequence, AppendResult result) implements CompanionEvent {}
 
     /** Time has passed; about every 50 ms. */
     record Tick() implements CompanionEvent {}
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
@@ -8,7 +8,7 @@
 import org.rattanrudder.core.claims.ClaimSettings;
 import org.rattanrudder.core.document.DocumentReader;
 import org.rattanrudder.core.frame.Frame;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.orders.OrderTerms;
 
@@ -119,11 +119,11 @@
     private void takeOther(CompanionEvent event, Turn turn) {
         if (event instanceof CompanionEvent.Tick) {
             tick(turn);
-        } else if (event instanceof CompanionEvent.LogRead read && read.stream() == Stream.CONFIGURATION) {
+        } else if (event instanceof CompanionEvent.LogRead read && read.stream() == LogStream.CONFIGURATION) {
             if (documents.read(read.records(), turn)) {
                 configure(turn);
             }
-        } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == Stream.CONFIGURATION) {
+        } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == LogStream.CONFIGURATION) {
             documents.readFailed();
         } else if (event instanceof CompanionEvent.DrainRequested) {
             drain(turn);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
@@ -7,9 +7,9 @@
 import java.util.random.RandomGenerator;
 import org.rattanrudder.core.log.LogEntry;
 import org.rattanrudder.core.log.LogRecord;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.log.LogWriter;
 import org.rattanrudder.core.log.LogWriterSettings;
-import org.rattanrudder.core.log.Stream;
 import org.rattanrudder.core.model.TargetName;
 import org.rattanrudder.core.orders.DesiredState;
 import org.rattanrudder.core.orders.OrderActions;
@@ -31,7 +31,7 @@
     EngineOrders(long incarnation, OrderTerms terms, RandomGenerator random) {
         this.incarnation = incarnation;
         this.terms = terms;
-        this.log = new LogWriter(Stream.ORDERS, incarnation, LogWriterSettings.DEFAULT, random);
+        this.log = new LogWriter(LogStream.ORDERS, incarnation, LogWriterSettings.DEFAULT, random);
     }
 
     @Override
@@ -58,11 +58,11 @@
             turn.note("paused", "micros", Long.toString(nowMicros - lastMicros));
         }
         lastMicros = nowMicros;
-        if (event instanceof CompanionEvent.LogRead read && read.stream() == Stream.ORDERS) {
+        if (event instanceof CompanionEvent.LogRead read && read.stream() == LogStream.ORDERS) {
             read(read, nowMicros);
-        } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == Stream.ORDERS) {
+        } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == LogStream.ORDERS) {
             log.readFailed();
-        } else if (event instanceof CompanionEvent.AppendSettled settled && settled.stream() == Stream.ORDERS) {
+        } else if (event instanceof CompanionEvent.AppendSettled settled && settled.stream() == LogStream.ORDERS) {
             log.settled(settled.sequence(), settled.result(), nowMicros);
         } else if (event instanceof CompanionEvent.LoadReported reported && orders.containsKey(reported.target())) {
             orders.get(reported.target()).reported(reported.load().weightVersion(), nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEffect.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEffect.java
@@ -6,7 +6,7 @@
 import org.rattanrudder.core.document.RequestClass;
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.log.LogBatch;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.Refusal;
 
@@ -73,7 +73,7 @@
      * @param stream the stream
      * @param batch the batch
      */
-    record Append(Stream stream, LogBatch batch) implements EntryEffect {}
+    record Append(LogStream stream, LogBatch batch) implements EntryEffect {}
 
     /**
      * Answer an operator.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEvent.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEvent.java
@@ -4,7 +4,7 @@
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.log.AppendResult;
 import org.rattanrudder.core.log.LogRecord;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.Address;
 
 /** What happens to an entry. A caller's connection is named by the sequence that the daemon gave its request. */
@@ -62,14 +62,14 @@
      * @param records the records
      * @param caughtUp whether the reader has reached the log's end
      */
-    record LogRead(Stream stream, List<LogRecord> records, boolean caughtUp) implements EntryEvent {}
+    record LogRead(LogStream stream, List<LogRecord> records, boolean caughtUp) implements EntryEvent {}
 
     /**
      * The log couldn't be read.
      *
      * @param stream the stream
      */
-    record LogReadFailed(Stream stream) implements EntryEvent {}
+    record LogReadFailed(LogStream stream) implements EntryEvent {}
 
     /**
      * The log answered an append, or didn't.
@@ -78,7 +78,7 @@
      * @param sequence the batch's sequence
      * @param result the answer
      */
-    record AppendSettled(Stream stream, long sequence, AppendResult result) implements EntryEvent {}
+    record AppendSettled(LogStream stream, long sequence, AppendResult result) implements EntryEvent {}
 
     /**
      * The platform's lagging list of instances.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
@@ -9,9 +9,9 @@
 import org.rattanrudder.core.document.DocumentReader;
 import org.rattanrudder.core.document.ServiceDocument;
 import org.rattanrudder.core.frame.Frame;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.log.LogWriter;
 import org.rattanrudder.core.log.LogWriterSettings;
-import org.rattanrudder.core.log.Stream;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.Refusal;
@@ -81,7 +81,7 @@
         membership = new Membership(settings, services, outbox, random, attempts);
         attempts.use(membership);
         peers = Set.copyOf(settings.peers());
-        log = new LogWriter(Stream.CONFIGURATION, settings.incarnation(), LOG_SETTINGS, random);
+        log = new LogWriter(LogStream.CONFIGURATION, settings.incarnation(), LOG_SETTINGS, random);
         configuration = new Configuration(reader, services, log, random, outbox);
         publisher = new Publisher(settings.incarnation(), reader, configuration, log, outbox);
         operators = new OperatorQueries(settings, services, admission, policy, outbox);
@@ -141,7 +141,7 @@
 
     private void logRead(EntryEvent.LogRead read, long nowMicros) {
         logReachable = true;
-        if (read.stream() != Stream.CONFIGURATION) {
+        if (read.stream() != LogStream.CONFIGURATION) {
             return;
         }
         log.read(read.records(), read.caughtUp());
@@ -160,9 +160,9 @@
         membership.follow(configuration.isKnown() ? services.companions() : peers, nowMicros);
     }
 
-    private void logReadFailed(Stream stream, long nowMicros) {
+    private void logReadFailed(LogStream stream, long nowMicros) {
         logReachable = false;
-        if (stream == Stream.CONFIGURATION) {
+        if (stream == LogStream.CONFIGURATION) {
             log.readFailed();
             configuration.readFailed();
             publisher.tick(nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/Stream.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogStream.java
@@ -1,7 +1,7 @@
 package org.rattanrudder.core.log;
 
 /** The streams that the system keeps in the platform's log. */
-public enum Stream {
+public enum LogStream {
     /** Service documents and their refreshes. */
     CONFIGURATION("configuration"),
     /** Claims of idempotency keys and their outcomes. */
@@ -11,7 +11,7 @@
 
     private final String wireName;
 
-    Stream(String wireName) {
+    LogStream(String wireName) {
         this.wireName = wireName;
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
@@ -32,7 +32,7 @@
     /** So many refusals in a row are an outage, not a log that is asked too often. */
     private static final int OUTAGE_REFUSALS = 5;
 
-    private final Stream stream;
+    private final LogStream stream;
     private final long writer;
     private final LogWriterSettings settings;
     private final RandomGenerator random;
@@ -60,7 +60,7 @@
      * @param settings bounds and waits
      * @param random draws the jitter of the backoff
      */
-    public LogWriter(Stream stream, long writer, LogWriterSettings settings, RandomGenerator random) {
+    public LogWriter(LogStream stream, long writer, LogWriterSettings settings, RandomGenerator random) {
         this.stream = stream;
         this.writer = writer;
         this.settings = settings;
@@ -72,7 +72,7 @@
     @FunctionalInterface
     public interface Appender {
         /** Appends the batch to the stream; answered later by one {@link AppendResult}. */
-        void append(Stream stream, LogBatch batch);
+        void append(LogStream stream, LogBatch batch);
     }
 
     /** What became of an offered entry. */
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
@@ -8,9 +8,9 @@
 import org.rattanrudder.core.log.AppendResult;
 import org.rattanrudder.core.log.LogBatch;
 import org.rattanrudder.core.log.LogRecord;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.log.LogWriter;
 import org.rattanrudder.core.log.LogWriterSettings;
-import org.rattanrudder.core.log.Stream;
 import org.rattanrudder.core.model.AttemptId;
 import org.rattanrudder.core.model.InstanceName;
 
@@ -37,7 +37,7 @@
         this.incarnation = incarnation;
         this.log = log;
         this.sink = sink;
-        LogWriter writer = new LogWriter(Stream.CLAIMS, incarnation, WRITER, random);
+        LogWriter writer = new LogWriter(LogStream.CLAIMS, incarnation, WRITER, random);
         claims = new KeyClaims(incarnation, new InstanceName(name), ClaimWorld.CLAIMS, writer, random);
         claims.honour(ClaimWorld.SERVICE, ClaimWorld.KEY_RETENTION_MICROS);
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
@@ -10,9 +10,9 @@
 import org.rattanrudder.core.claims.KeyClaims;
 import org.rattanrudder.core.claims.KeyDecision;
 import org.rattanrudder.core.claims.KeyedCall;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.log.LogWriter;
 import org.rattanrudder.core.log.LogWriterSettings;
-import org.rattanrudder.core.log.Stream;
 import org.rattanrudder.core.model.AttemptId;
 import org.rattanrudder.core.model.Digest;
 import org.rattanrudder.core.model.InstanceName;
@@ -50,7 +50,7 @@
         private final KeyClaims claims;
 
         private Companion(int number, LogWriterSettings settings) {
-            LogWriter writer = new LogWriter(Stream.CLAIMS, number, settings, new Random(number));
+            LogWriter writer = new LogWriter(LogStream.CLAIMS, number, settings, new Random(number));
             InstanceName name = new InstanceName("companion-" + number);
             claims = new KeyClaims(number, name, ClaimSettings.DEFAULT, writer, new Random(number));
             claims.honour(SERVICE, 86_400 * SECOND);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/ClaimGateTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/ClaimGateTest.java
@@ -13,7 +13,7 @@
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.log.AppendResult;
 import org.rattanrudder.core.log.LogRecord;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.ErrorKind;
 
 class ClaimGateTest {
@@ -57,7 +57,7 @@
     void aCallThatIsRefusedWhileTheLogIsDownDoesNotRunLater() {
         readLog();
         driver.frame(1, keyed(1));
-        driver.handle(new CompanionEvent.AppendSettled(Stream.CLAIMS, 2, new AppendResult.Lost()));
+        driver.handle(new CompanionEvent.AppendSettled(LogStream.CLAIMS, 2, new AppendResult.Lost()));
         driver.pass(1_100, 1);
         assertThat(driver.sent(1, Frame.NotRun.class))
                 .extracting(frame -> frame.refusal().kind())
@@ -150,17 +150,17 @@
         do {
             List<LogRecord> records = new ArrayList<>();
             List<CompanionEffect.Append> appends = driver.all(CompanionEffect.Append.class).stream()
-                    .filter(append -> append.stream() == Stream.CLAIMS)
+                    .filter(append -> append.stream() == LogStream.CLAIMS)
                     .toList();
             for (CompanionEffect.Append append : appends.subList(appendsSeen, appends.size())) {
                 records.add(new LogRecord(++offset, append.batch()));
             }
             appendsSeen = appends.size();
-            driver.handle(new CompanionEvent.LogRead(Stream.CLAIMS, records, true));
+            driver.handle(new CompanionEvent.LogRead(LogStream.CLAIMS, records, true));
             driver.pass(50, 1);
         } while (appendsSeen
                 < driver.all(CompanionEffect.Append.class).stream()
-                        .filter(append -> append.stream() == Stream.CLAIMS)
+                        .filter(append -> append.stream() == LogStream.CLAIMS)
                         .count());
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionDriver.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionDriver.java
@@ -26,7 +26,7 @@
 import org.rattanrudder.core.log.LogBatch;
 import org.rattanrudder.core.log.LogEntry;
 import org.rattanrudder.core.log.LogRecord;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.AttemptId;
 import org.rattanrudder.core.model.CustomerName;
@@ -117,7 +117,7 @@
                 new LogEntry.DocumentEdit(document.service(), revisions.getOrDefault(document.service(), 0L), text);
         revisions.put(document.service(), offset);
         LogRecord record = new LogRecord(offset, new LogBatch(1, offset, List.of(edit)));
-        handle(new CompanionEvent.LogRead(Stream.CONFIGURATION, List.of(record), true));
+        handle(new CompanionEvent.LogRead(LogStream.CONFIGURATION, List.of(record), true));
     }
 
     public void reportVersion(String version) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/EngineOrdersTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/EngineOrdersTest.java
@@ -7,7 +7,7 @@
 import org.rattanrudder.core.companion.CompanionEvent.OrderOutcome;
 import org.rattanrudder.core.log.AppendResult;
 import org.rattanrudder.core.log.LogRecord;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 
 class EngineOrdersTest {
     private final CompanionDriver driver = CompanionDriver.ready();
@@ -38,17 +38,17 @@
         for (int turn = 0; turn < turns; turn++) {
             driver.pass(100, 1);
             List<CompanionEffect.Append> appends = driver.all(CompanionEffect.Append.class).stream()
-                    .filter(append -> append.stream() == Stream.ORDERS)
+                    .filter(append -> append.stream() == LogStream.ORDERS)
                     .toList();
             driver.effects.removeAll(appends);
             for (CompanionEffect.Append append : appends) {
                 end++;
                 driver.handle(new CompanionEvent.AppendSettled(
-                        Stream.ORDERS, append.batch().sequence(), new AppendResult.Appended(end)));
+                        LogStream.ORDERS, append.batch().sequence(), new AppendResult.Appended(end)));
                 LogRecord record = new LogRecord(end, append.batch());
-                driver.handle(new CompanionEvent.LogRead(Stream.ORDERS, List.of(record), true));
+                driver.handle(new CompanionEvent.LogRead(LogStream.ORDERS, List.of(record), true));
             }
-            driver.handle(new CompanionEvent.LogRead(Stream.ORDERS, List.of(), true));
+            driver.handle(new CompanionEvent.LogRead(LogStream.ORDERS, List.of(), true));
         }
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryDriver.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryDriver.java
@@ -12,7 +12,7 @@
 import org.rattanrudder.core.log.LogBatch;
 import org.rattanrudder.core.log.LogEntry;
 import org.rattanrudder.core.log.LogRecord;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.Digest;
 import org.rattanrudder.core.model.ErrorKind;
@@ -65,7 +65,7 @@
         offset++;
         LogEntry edit = new LogEntry.DocumentEdit(document.service(), baseRevision, documents.textOf(document));
         LogRecord record = new LogRecord(offset, new LogBatch(5, offset, List.of(edit)));
-        handle(new EntryEvent.LogRead(Stream.CONFIGURATION, List.of(record), true));
+        handle(new EntryEvent.LogRead(LogStream.CONFIGURATION, List.of(record), true));
         return offset;
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/PublisherTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/PublisherTest.java
@@ -13,7 +13,7 @@
 import org.rattanrudder.core.log.LogBatch;
 import org.rattanrudder.core.log.LogEntry;
 import org.rattanrudder.core.log.LogRecord;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.ServiceName;
 
@@ -59,7 +59,7 @@
         // to the append was lost; only the log itself tells, and a repeat carries the same batch.
         publish(1, 0, text);
         LogBatch batch = appended().get(0);
-        entry.handle(new EntryEvent.AppendSettled(Stream.CONFIGURATION, batch.sequence(), new AppendResult.Lost()));
+        entry.handle(new EntryEvent.AppendSettled(LogStream.CONFIGURATION, batch.sequence(), new AppendResult.Lost()));
         assertThat(replies()).isEmpty();
         read(tookEffect ? List.of(record(batch)) : List.of());
         if (!tookEffect) {
@@ -77,9 +77,9 @@
         // the first one comes into force. What was sent may be in the log; what was never sent can't be.
         publish(1, 0, text);
         if (!sent) {
-            entry.handle(new EntryEvent.AppendSettled(Stream.CONFIGURATION, 1, new AppendResult.Refused()));
+            entry.handle(new EntryEvent.AppendSettled(LogStream.CONFIGURATION, 1, new AppendResult.Refused()));
         }
-        entry.handle(new EntryEvent.LogReadFailed(Stream.CONFIGURATION));
+        entry.handle(new EntryEvent.LogReadFailed(LogStream.CONFIGURATION));
         ErrorKind expected = sent ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.LOG_UNAVAILABLE;
         assertThat(replies()).singleElement().extracting(PublisherTest::kind).isEqualTo(expected);
         if (!sent) {
@@ -92,7 +92,7 @@
     @Test
     void anEditThatAnotherOvertookIsAConflictThoughItsOwnAppendIsInDoubt() {
         publish(1, 0, text);
-        entry.handle(new EntryEvent.AppendSettled(Stream.CONFIGURATION, 1, new AppendResult.Lost()));
+        entry.handle(new EntryEvent.AppendSettled(LogStream.CONFIGURATION, 1, new AppendResult.Lost()));
         read(List.of(record(new LogBatch(5, 1, List.of(new LogEntry.DocumentEdit(PALIVO, 0, other))))));
         assertThat(replies()).singleElement().extracting(PublisherTest::kind).isEqualTo(ErrorKind.REVISION_CONFLICT);
     }
@@ -112,7 +112,7 @@
         // the
         // documents say where companions are, so its settings name some to ask.
         EntryDriver started = new EntryDriver();
-        started.handle(new EntryEvent.LogReadFailed(Stream.CONFIGURATION));
+        started.handle(new EntryEvent.LogReadFailed(LogStream.CONFIGURATION));
         assertThat(started.all(EntryEffect.OpenLink.class))
                 .containsExactly(new EntryEffect.OpenLink(Documents.companion(1)));
         started.open(1, 100);
@@ -134,7 +134,7 @@
         // An entry that lost the log, while its companions did not, serves by an old document for the whole outage.
         read(List.of(record(new LogBatch(5, 1, List.of(new LogEntry.DocumentEdit(PALIVO, 0, text))))));
         entry.open(1, 100);
-        entry.handle(new EntryEvent.LogReadFailed(Stream.CONFIGURATION));
+        entry.handle(new EntryEvent.LogReadFailed(LogStream.CONFIGURATION));
         Frame.ServiceRevision newer = new Frame.ServiceRevision(PALIVO, 2);
         entry.frame(1, new Frame.Heartbeat(100, 1, List.of(), List.of(newer), 1));
         assertThat(entry.frames(Frame.ConfigurationRequest.class)).containsExactly(new Frame.ConfigurationRequest(1));
@@ -159,7 +159,7 @@
     }
 
     private void read(List<LogRecord> records) {
-        entry.handle(new EntryEvent.LogRead(Stream.CONFIGURATION, records, true));
+        entry.handle(new EntryEvent.LogRead(LogStream.CONFIGURATION, records, true));
     }
 
     private List<LogBatch> appended() {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
@@ -18,7 +18,7 @@
     private static final LogWriterSettings SETTINGS =
             new LogWriterSettings(10_000, 3, 10_000, 8, 200_000, 500_000, 20_000, 160_000);
 
-    private final LogWriter writer = new LogWriter(Stream.CLAIMS, WRITER, SETTINGS, new Random(1));
+    private final LogWriter writer = new LogWriter(LogStream.CLAIMS, WRITER, SETTINGS, new Random(1));
     private final List<LogBatch> appended = new ArrayList<>();
     private long now = 1_000_000;
 
@@ -237,7 +237,7 @@
     }
 
     private List<Long> retryTimes(Random random) {
-        LogWriter refused = new LogWriter(Stream.CLAIMS, WRITER, SETTINGS, random);
+        LogWriter refused = new LogWriter(LogStream.CLAIMS, WRITER, SETTINGS, random);
         List<Long> times = new ArrayList<>();
         refused.offer(entry(1), 0);
         for (long at = 0; times.size() < 8; at += 1000) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/UnreliableLog.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/UnreliableLog.java
@@ -21,7 +21,7 @@
 
     UnreliableLog(Random random, LogWriterSettings settings) {
         this.random = random;
-        this.writer = new LogWriter(Stream.CLAIMS, 7, settings, random);
+        this.writer = new LogWriter(LogStream.CLAIMS, 7, settings, random);
     }
 
     void step() {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -16,7 +16,7 @@
 import org.rattanrudder.core.companion.CompanionSettings;
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.log.LogRecord;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.Refusal;
@@ -148,7 +148,7 @@
     }
 
     private void follow(ProcessThreads threads) {
-        for (Stream stream : Stream.values()) {
+        for (LogStream stream : LogStream.values()) {
             new LogFollower(
                             threads.caller(),
                             threads.timer(),
@@ -162,15 +162,15 @@
     }
 
     @Override
-    public void read(Stream stream, List<LogRecord> records, boolean caughtUp) {
+    public void read(LogStream stream, List<LogRecord> records, boolean caughtUp) {
         loop.publish(new CompanionEvent.LogRead(stream, records, caughtUp));
-        if (stream == Stream.CONFIGURATION && caughtUp) {
+        if (stream == LogStream.CONFIGURATION && caughtUp) {
             health.ready(true);
         }
     }
 
     @Override
-    public void readFailed(Stream stream) {
+    public void readFailed(LogStream stream) {
         loop.publish(new CompanionEvent.LogReadFailed(stream));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -16,7 +16,7 @@
 import org.rattanrudder.core.entry.EntrySettings;
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.log.LogRecord;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.daemon.http.BodyReader;
 import org.rattanrudder.daemon.http.Health;
@@ -126,7 +126,7 @@
                         threads.caller(),
                         threads.timer(),
                         settings.platform().log(),
-                        Stream.CONFIGURATION,
+                        LogStream.CONFIGURATION,
                         this,
                         LogFollower.Watch.writing(log))
                 .poll();
@@ -159,12 +159,12 @@
     }
 
     @Override
-    public void read(Stream stream, List<LogRecord> records, boolean caughtUp) {
+    public void read(LogStream stream, List<LogRecord> records, boolean caughtUp) {
         loop.publish(new EntryEvent.LogRead(stream, records, caughtUp));
     }
 
     @Override
-    public void readFailed(Stream stream) {
+    public void readFailed(LogStream stream) {
         loop.publish(new EntryEvent.LogReadFailed(stream));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogAppender.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogAppender.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.rattanrudder.core.log.AppendResult;
 import org.rattanrudder.core.log.LogBatch;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.wire.http.HttpCaller;
 import org.rattanrudder.wire.http.HttpRequest;
@@ -36,7 +36,7 @@
     }
 
     /** Appends a batch once and passes on what came of it. */
-    public void append(Stream stream, LogBatch batch, Consumer<AppendResult> settled) {
+    public void append(LogStream stream, LogBatch batch, Consumer<AppendResult> settled) {
         HttpRequest request = HttpRequest.of("POST", "/log/" + stream.wireName());
         HttpRequest sent = new HttpRequest(
                 request.method(), request.path(), request.headers(), LogCodec.encode(batch), false, TIMEOUTS);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import org.rattanrudder.core.log.LogRecord;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.daemon.logging.EventLog;
 import org.rattanrudder.wire.http.HttpCaller;
@@ -28,7 +28,7 @@
     private final HttpCaller caller;
     private final ScheduledExecutorService timer;
     private final Address log;
-    private final Stream stream;
+    private final LogStream stream;
     private final Listener listener;
     private final Watch watch;
     private long next = 1;
@@ -38,30 +38,30 @@
     /** Takes what was read. */
     public interface Listener {
         /** Records have been read; none if nothing new came for a while. */
-        void read(Stream stream, List<LogRecord> records, boolean caughtUp);
+        void read(LogStream stream, List<LogRecord> records, boolean caughtUp);
 
         /** The log couldn't be read; it is tried again. */
-        void readFailed(Stream stream);
+        void readFailed(LogStream stream);
     }
 
     /** Told when reading begins to fail, and when it goes on. */
     public interface Watch {
         /** The log can't be read since now, for this reason. */
-        void lost(Stream stream, String reason);
+        void lost(LogStream stream, String reason);
 
         /** The log can be read again. */
-        void regained(Stream stream);
+        void regained(LogStream stream);
 
         /** Returns a watch that writes both to a log of events. */
         static Watch writing(EventLog events) {
             return new Watch() {
                 @Override
-                public void lost(Stream stream, String reason) {
+                public void lost(LogStream stream, String reason) {
                     events.warn("log_lost", "stream", stream.wireName(), "reason", reason);
                 }
 
                 @Override
-                public void regained(Stream stream) {
+                public void regained(LogStream stream) {
                     events.info("log_regained", "stream", stream.wireName());
                 }
             };
@@ -82,7 +82,7 @@
             HttpCaller caller,
             ScheduledExecutorService timer,
             Address log,
-            Stream stream,
+            LogStream stream,
             Listener listener,
             Watch watch) {
         this.caller = caller;
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
@@ -20,7 +20,7 @@
 import org.rattanrudder.core.log.AppendResult;
 import org.rattanrudder.core.log.LogBatch;
 import org.rattanrudder.core.log.LogRecord;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.daemon.TestServer;
 import org.rattanrudder.wire.http.HttpCaller;
@@ -59,7 +59,7 @@
         BlockingQueue<String> heard = new LinkedBlockingQueue<>();
         BlockingQueue<String> told = new LinkedBlockingQueue<>();
         try (TestServer log = new TestServer(exchange -> answer(exchange, asked, pages))) {
-            new LogFollower(caller, timer, log.address(), Stream.CONFIGURATION, new Heard(heard), new Told(told))
+            new LogFollower(caller, timer, log.address(), LogStream.CONFIGURATION, new Heard(heard), new Told(told))
                     .poll();
 
             List<String> expected =
@@ -126,30 +126,30 @@
 
     private AppendResult append(Address log) throws Exception {
         CompletableFuture<AppendResult> settled = new CompletableFuture<>();
-        new LogAppender(caller, log).append(Stream.CLAIMS, BATCH, settled::complete);
+        new LogAppender(caller, log).append(LogStream.CLAIMS, BATCH, settled::complete);
         return settled.get(SECONDS, TimeUnit.SECONDS);
     }
 
     private record Heard(BlockingQueue<String> heard) implements LogFollower.Listener {
         @Override
-        public void read(Stream stream, List<LogRecord> records, boolean caughtUp) {
+        public void read(LogStream stream, List<LogRecord> records, boolean caughtUp) {
             heard.add(records.stream().map(LogRecord::offset).toList() + " " + caughtUp);
         }
 
         @Override
-        public void readFailed(Stream stream) {
+        public void readFailed(LogStream stream) {
             heard.add("failed");
         }
     }
 
     private record Told(BlockingQueue<String> told) implements LogFollower.Watch {
         @Override
-        public void lost(Stream stream, String reason) {
+        public void lost(LogStream stream, String reason) {
             told.add("lost: " + reason);
         }
 
         @Override
-        public void regained(Stream stream) {
+        public void regained(LogStream stream) {
             told.add("regained");
         }
     }
--- a/rattanrudder-standins/src/main/java/org/rattanrudder/standins/bench/CapacityBench.java
+++ b/rattanrudder-standins/src/main/java/org/rattanrudder/standins/bench/CapacityBench.java
@@ -31,7 +31,7 @@
 import org.rattanrudder.core.log.LogBatch;
 import org.rattanrudder.core.log.LogEntry;
 import org.rattanrudder.core.log.LogRecord;
-import org.rattanrudder.core.log.Stream;
+import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.AttemptId;
 import org.rattanrudder.core.model.CustomerName;
@@ -87,7 +87,7 @@
                 new EntrySettings(new InstanceName("entry-1"), 9, "domain-1", "1"),
                 reader(companions),
                 new SplittableRandom(1));
-        machine.handle(new EntryEvent.LogRead(Stream.CONFIGURATION, records(), true), clock.now, effects::add);
+        machine.handle(new EntryEvent.LogRead(LogStream.CONFIGURATION, records(), true), clock.now, effects::add);
         for (int companion = 0; companion < companions; companion++) {
             Frame.Hello hello = new Frame.Hello(new InstanceName("companion-" + companion), 7, "domain-1", "1");
             machine.handle(new EntryEvent.LinkOpened(address(companion), hello), clock.now, effects::add);
@@ -160,7 +160,7 @@
                 new CompanionSettings(new InstanceName("companion-0"), 7, address(0), "domain-1", "1"),
                 reader(1),
                 new SplittableRandom(1));
-        machine.handle(new CompanionEvent.LogRead(Stream.CONFIGURATION, records(), true), clock.now, effect -> {});
+        machine.handle(new CompanionEvent.LogRead(LogStream.CONFIGURATION, records(), true), clock.now, effect -> {});
         for (int entry = 0; entry < entries; entry++) {
             Frame.Hello hello = new Frame.Hello(new InstanceName("entry-" + entry), 100 + entry, "domain-1", "1");
             machine.handle(new CompanionEvent.LinkOpened(entry, hello), clock.now, effect -> {});
