--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/AppendResult.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/AppendResult.java
@@ -13,5 +13,5 @@
     record Refused() implements AppendResult {}
 
     /** No answer came: it may be in the log or may still get there; only reading back tells. */
-    record Lost() implements AppendResult {}
+    record Unknown() implements AppendResult {}
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
@@ -135,7 +135,7 @@
             finishBatch();
             return;
         }
-        if (result instanceof AppendResult.Lost) {
+        if (result instanceof AppendResult.Unknown) {
             copyMayBeInLog = true;
             readToEndSinceLoss = false;
             lostMicros = nowMicros;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/ClaimWorld.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/ClaimWorld.java
@@ -142,7 +142,7 @@
             log.refuse(batch);
             companion.answer(new AppendResult.Refused(), now);
         } else if (!log.hasLanded(batch) || random.nextInt(3) == 0) {
-            companion.answer(new AppendResult.Lost(), now);
+            companion.answer(new AppendResult.Unknown(), now);
         } else {
             companion.answer(new AppendResult.Appended(1), now);
         }
@@ -162,7 +162,7 @@
             for (SimulatedCompanion companion : companions) {
                 while (!companion.unanswered.isEmpty()) {
                     boolean landed = log.hasLanded(companion.unanswered.peek());
-                    companion.answer(landed ? new AppendResult.Appended(1) : new AppendResult.Lost(), now);
+                    companion.answer(landed ? new AppendResult.Appended(1) : new AppendResult.Unknown(), now);
                 }
                 companion.read(1_000, now);
                 while (!companion.running.isEmpty()) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
@@ -48,7 +48,7 @@
     @ValueSource(booleans = {true, false})
     void aClaimThatLandsAfterTheCallerWasToldNotRunNeverRunsAndDoesNotBlockTheRetry(boolean sameCompanion) {
         AttemptId refused = world.ask(first, CALL);
-        first.answer(new AppendResult.Lost(), world.now);
+        first.answer(new AppendResult.Unknown(), world.now);
         world.now += ClaimWorld.CLAIMS.claimWaitMicros();
         first.tick(world.now);
         assertThat(kind(refused)).isEqualTo(ErrorKind.LOG_UNAVAILABLE);
@@ -70,7 +70,7 @@
     @Test
     void aRepeatMayUseTheClaimOfAnAttemptThatWasGivenUp() {
         AttemptId givenUp = world.ask(first, CALL);
-        first.answer(new AppendResult.Lost(), world.now);
+        first.answer(new AppendResult.Unknown(), world.now);
         first.claims.giveUp(givenUp);
         AttemptId repeat = world.ask(first, CALL);
         land();
@@ -143,12 +143,12 @@
     void aLateCopyOfAReleaseDoesNotFreeAKeyThatRuns() {
         AttemptId givenUp = world.ask(first, CALL);
         land();
-        first.answer(new AppendResult.Lost(), world.now);
+        first.answer(new AppendResult.Unknown(), world.now);
         first.claims.giveUp(givenUp);
         first.read(10, world.now);
         world.now += SimulatedCompanion.WRITER.intervalMicros();
         first.tick(world.now);
-        first.answer(new AppendResult.Lost(), world.now);
+        first.answer(new AppendResult.Unknown(), world.now);
         first.read(10, world.now);
         world.now += SimulatedCompanion.WRITER.readBackMicros();
         first.tick(world.now);
@@ -187,7 +187,7 @@
     @Test
     void aClaimThatTurnsUpAfterItWasForgottenIsGivenBack() {
         AttemptId givenUp = world.ask(first, CALL);
-        first.answer(new AppendResult.Lost(), world.now);
+        first.answer(new AppendResult.Unknown(), world.now);
         first.claims.giveUp(givenUp);
         world.now += ClaimWorld.CLAIMS.logRetentionMicros() + 1;
         first.tick(world.now);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/ClaimGateTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/ClaimGateTest.java
@@ -57,7 +57,7 @@
     void aCallThatIsRefusedWhileTheLogIsDownDoesNotRunLater() {
         readLog();
         driver.frame(1, keyed(1));
-        driver.handle(new CompanionEvent.AppendSettled(LogStream.CLAIMS, 2, new AppendResult.Lost()));
+        driver.handle(new CompanionEvent.AppendSettled(LogStream.CLAIMS, 2, new AppendResult.Unknown()));
         driver.pass(1_100, 1);
         assertThat(driver.sent(1, Frame.NotRun.class))
                 .extracting(frame -> frame.refusal().kind())
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/PublisherTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/PublisherTest.java
@@ -59,7 +59,8 @@
         // to the append was lost; only the log itself tells, and a repeat carries the same batch.
         publish(1, 0, text);
         LogBatch batch = appended().get(0);
-        entry.handle(new EntryEvent.AppendSettled(LogStream.CONFIGURATION, batch.sequence(), new AppendResult.Lost()));
+        entry.handle(
+                new EntryEvent.AppendSettled(LogStream.CONFIGURATION, batch.sequence(), new AppendResult.Unknown()));
         assertThat(replies()).isEmpty();
         read(tookEffect ? List.of(record(batch)) : List.of());
         if (!tookEffect) {
@@ -92,7 +93,7 @@
     @Test
     void anEditThatAnotherOvertookIsAConflictThoughItsOwnAppendIsInDoubt() {
         publish(1, 0, text);
-        entry.handle(new EntryEvent.AppendSettled(LogStream.CONFIGURATION, 1, new AppendResult.Lost()));
+        entry.handle(new EntryEvent.AppendSettled(LogStream.CONFIGURATION, 1, new AppendResult.Unknown()));
         read(List.of(record(new LogBatch(5, 1, List.of(new LogEntry.DocumentEdit(PALIVO, 0, other))))));
         assertThat(replies()).singleElement().extracting(PublisherTest::kind).isEqualTo(ErrorKind.REVISION_CONFLICT);
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
@@ -30,7 +30,7 @@
     void aBatchWhoseAnswerIsLostIsNotSentAgainWhenItIsReadBack() {
         offer(1);
         pump();
-        writer.settled(1, new AppendResult.Lost(), now);
+        writer.settled(1, new AppendResult.Unknown(), now);
         writer.read(List.of(new LogRecord(1, appended.get(0))), true);
         advance(10 * SETTINGS.readBackMicros());
 
@@ -46,7 +46,7 @@
     void aBatchThatIsAbsentIsAppendedAgainUnderItsOwnSequenceAndReadersTakeOneCopy() {
         offer(1);
         pump();
-        writer.settled(1, new AppendResult.Lost(), now);
+        writer.settled(1, new AppendResult.Unknown(), now);
         offer(2);
         advance(SETTINGS.readBackMicros());
         assertThat(appended).as("not before a read to the end").hasSize(1);
@@ -74,7 +74,7 @@
 
         LogEntry lost = offer(2);
         advance(SETTINGS.longestBackoffMicros());
-        writer.settled(1, new AppendResult.Lost(), now);
+        writer.settled(1, new AppendResult.Unknown(), now);
         assertThat(writer.retract(lost)).as("lost").isFalse();
         advance(SETTINGS.readBackMicros());
         writer.read(List.of(), true);
@@ -96,7 +96,7 @@
         pump();
         for (long waited = 0; waited < SETTINGS.patienceMicros(); waited += 10_000) {
             if (!kind.equals("silent")) {
-                writer.settled(1, kind.equals("lost") ? new AppendResult.Lost() : new AppendResult.Refused(), now);
+                writer.settled(1, kind.equals("lost") ? new AppendResult.Unknown() : new AppendResult.Refused(), now);
             }
             advance(10_000);
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/UnreliableLog.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/UnreliableLog.java
@@ -87,7 +87,7 @@
             onTheWay.removeIf(batch -> batch == answered);
             writer.settled(answered.sequence(), new AppendResult.Refused(), now);
         } else if (out || random.nextBoolean()) {
-            writer.settled(answered.sequence(), new AppendResult.Lost(), now);
+            writer.settled(answered.sequence(), new AppendResult.Unknown(), now);
         } else {
             writer.settled(answered.sequence(), new AppendResult.Appended(1), now);
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogAppender.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogAppender.java
@@ -45,7 +45,7 @@
 
     private static AppendResult resultOf(HttpResult result) {
         if (result instanceof HttpResult.Failed failed) {
-            return failed.nothingSent() ? new AppendResult.Refused() : new AppendResult.Lost();
+            return failed.nothingSent() ? new AppendResult.Refused() : new AppendResult.Unknown();
         }
         HttpResult.Answered answered = (HttpResult.Answered) result;
         if (answered.isSuccess()) {
@@ -53,15 +53,15 @@
         }
         // Only these two are promised to have had no effect; any other answer leaves it open.
         boolean refused = answered.status() == TOO_MANY_REQUESTS || answered.status() == UNAVAILABLE;
-        return refused ? new AppendResult.Refused() : new AppendResult.Lost();
+        return refused ? new AppendResult.Refused() : new AppendResult.Unknown();
     }
 
     private static AppendResult appended(byte[] body) {
         try {
             JsonNode offset = MAPPER.readTree(body).path("offset");
-            return offset.canConvertToLong() ? new AppendResult.Appended(offset.asLong()) : new AppendResult.Lost();
+            return offset.canConvertToLong() ? new AppendResult.Appended(offset.asLong()) : new AppendResult.Unknown();
         } catch (IOException malformed) {
-            return new AppendResult.Lost();
+            return new AppendResult.Unknown();
         }
     }
 }
