--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -231,11 +231,11 @@
             return refusals.overloaded();
         }
         OwnKey key = new OwnKey(call, incarnation, lastOffset, nowMicros);
-        LogWriter.Offer offer = writer.offer(key.claim, nowMicros);
-        if (offer == LogWriter.Offer.UNAVAILABLE) {
+        LogWriter.OfferResult offer = writer.offer(key.claim, nowMicros);
+        if (offer == LogWriter.OfferResult.UNAVAILABLE) {
             return logUnavailable(nowMicros, "the log doesn't answer");
         }
-        if (offer == LogWriter.Offer.FULL) {
+        if (offer == LogWriter.OfferResult.FULL) {
             return refusals.overloaded();
         }
         own.add(key);
@@ -316,7 +316,7 @@
 
     private void record(OwnKey key, LogEntry end) {
         key.end = end;
-        if (writer.record(end) != LogWriter.Offer.QUEUED) {
+        if (writer.record(end) != LogWriter.OfferResult.QUEUED) {
             own.remove(key);
         }
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
@@ -101,7 +101,7 @@
         return new OrderActions() {
             @Override
             public boolean append(LogEntry entry) {
-                return log.offer(entry, turn.nowMicros()) == LogWriter.Offer.QUEUED;
+                return log.offer(entry, turn.nowMicros()) == LogWriter.OfferResult.QUEUED;
             }
 
             @Override
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Publisher.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Publisher.java
@@ -49,7 +49,7 @@
             return;
         }
         LogEntry.DocumentEdit edit = new LogEntry.DocumentEdit(call.service(), call.baseRevision(), call.text());
-        if (log.offer(edit, nowMicros) == LogWriter.Offer.QUEUED) {
+        if (log.offer(edit, nowMicros) == LogWriter.OfferResult.QUEUED) {
             pending.add(new Pending(handle, edit, nowMicros));
         } else {
             refuse(handle, logUnavailable(nowMicros));
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
@@ -76,7 +76,7 @@
     }
 
     /** What became of an offered entry. */
-    public enum Offer {
+    public enum OfferResult {
         /** It will be appended unless it is retracted in time. */
         QUEUED,
         /** Too much waits; it was not taken. */
@@ -95,9 +95,9 @@
     }
 
     /** Takes an entry that begins new work, unless the log is down or half of the room is taken. */
-    public Offer offer(LogEntry entry, long nowMicros) {
+    public OfferResult offer(LogEntry entry, long nowMicros) {
         if (!isAvailable(nowMicros)) {
-            return Offer.UNAVAILABLE;
+            return OfferResult.UNAVAILABLE;
         }
         return enqueue(entry, settings.capacity() / 2);
     }
@@ -105,9 +105,9 @@
     /**
      * Takes an entry that tells the end of work already begun, whether or not the log answers.
      *
-     * @return never {@link Offer#UNAVAILABLE}
+     * @return never {@link OfferResult#UNAVAILABLE}
      */
-    public Offer record(LogEntry entry) {
+    public OfferResult record(LogEntry entry) {
         return enqueue(entry, settings.capacity());
     }
 
@@ -227,12 +227,12 @@
         return queue.size() + batch.size();
     }
 
-    private Offer enqueue(LogEntry entry, int room) {
+    private OfferResult enqueue(LogEntry entry, int room) {
         if (waiting() >= room) {
-            return Offer.FULL;
+            return OfferResult.FULL;
         }
         queue.addLast(entry);
-        return Offer.QUEUED;
+        return OfferResult.QUEUED;
     }
 
     private List<LogEntry> takeBatch() {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
@@ -100,21 +100,21 @@
             }
             advance(10_000);
         }
-        assertThat(writer.offer(entry(2), now)).isEqualTo(LogWriter.Offer.UNAVAILABLE);
+        assertThat(writer.offer(entry(2), now)).isEqualTo(LogWriter.OfferResult.UNAVAILABLE);
 
         writer.read(List.of(new LogRecord(1, appended.get(0))), true);
         writer.settled(1, new AppendResult.Appended(1), now);
         advance(SETTINGS.longestBackoffMicros());
         writer.settled(1, new AppendResult.Appended(1), now);
-        assertThat(writer.offer(entry(3), now)).isEqualTo(LogWriter.Offer.QUEUED);
+        assertThat(writer.offer(entry(3), now)).isEqualTo(LogWriter.OfferResult.QUEUED);
     }
 
     @Test
     void aLogThatCannotBeReadIsSaidAtOnceSinceNothingCouldBeReadBack() {
         writer.readFailed();
-        assertThat(writer.offer(entry(1), now)).isEqualTo(LogWriter.Offer.UNAVAILABLE);
+        assertThat(writer.offer(entry(1), now)).isEqualTo(LogWriter.OfferResult.UNAVAILABLE);
         writer.read(List.of(), true);
-        assertThat(writer.offer(entry(1), now)).isEqualTo(LogWriter.Offer.QUEUED);
+        assertThat(writer.offer(entry(1), now)).isEqualTo(LogWriter.OfferResult.QUEUED);
     }
 
     @Test
@@ -135,20 +135,20 @@
         assertThat(writer.isAvailable(now)).isTrue();
         now += SETTINGS.patienceMicros();
 
-        assertThat(writer.offer(entry(2), now)).isEqualTo(LogWriter.Offer.QUEUED);
-        assertThat(writer.offer(entry(3), now)).isEqualTo(LogWriter.Offer.UNAVAILABLE);
+        assertThat(writer.offer(entry(2), now)).isEqualTo(LogWriter.OfferResult.QUEUED);
+        assertThat(writer.offer(entry(3), now)).isEqualTo(LogWriter.OfferResult.UNAVAILABLE);
     }
 
     @Test
     void newWorkMayFillHalfOfTheRoomAndEndsOfWorkTheRest() {
         for (int number = 0; number < 4; number++) {
-            assertThat(writer.offer(entry(number), now)).isEqualTo(LogWriter.Offer.QUEUED);
+            assertThat(writer.offer(entry(number), now)).isEqualTo(LogWriter.OfferResult.QUEUED);
         }
-        assertThat(writer.offer(entry(4), now)).isEqualTo(LogWriter.Offer.FULL);
+        assertThat(writer.offer(entry(4), now)).isEqualTo(LogWriter.OfferResult.FULL);
         for (int number = 4; number < 8; number++) {
-            assertThat(writer.record(entry(number))).isEqualTo(LogWriter.Offer.QUEUED);
+            assertThat(writer.record(entry(number))).isEqualTo(LogWriter.OfferResult.QUEUED);
         }
-        assertThat(writer.record(entry(8))).isEqualTo(LogWriter.Offer.FULL);
+        assertThat(writer.record(entry(8))).isEqualTo(LogWriter.OfferResult.FULL);
     }
 
     @Test
@@ -256,7 +256,7 @@
 
     private LogEntry offer(int number) {
         LogEntry entry = entry(number);
-        assertThat(writer.offer(entry, now)).isEqualTo(LogWriter.Offer.QUEUED);
+        assertThat(writer.offer(entry, now)).isEqualTo(LogWriter.OfferResult.QUEUED);
         return entry;
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/UnreliableLog.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/UnreliableLog.java
@@ -54,7 +54,7 @@
 
     private void offer() {
         LogEntry entry = LogWriterTest.entry(offered++);
-        if (writer.offer(entry, now) == LogWriter.Offer.QUEUED) {
+        if (writer.offer(entry, now) == LogWriter.OfferResult.QUEUED) {
             taken.add(entry);
         }
     }
