--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -149,7 +149,7 @@
 
     /** Takes the answer to an append. */
     public void settled(long sequence, AppendResult result, long nowMicros) {
-        writer.settled(sequence, result, nowMicros);
+        writer.onAppendResult(sequence, result, nowMicros);
     }
 
     /** Gives up attempts whose wait is over, and notes expired keys; call it at each tick. */
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
@@ -63,7 +63,7 @@
         } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == LogStream.ORDERS) {
             log.readFailed();
         } else if (event instanceof CompanionEvent.AppendSettled settled && settled.stream() == LogStream.ORDERS) {
-            log.settled(settled.sequence(), settled.result(), nowMicros);
+            log.onAppendResult(settled.sequence(), settled.result(), nowMicros);
         } else if (event instanceof CompanionEvent.LoadReported reported && orders.containsKey(reported.target())) {
             orders.get(reported.target()).reported(reported.load().weightVersion(), nowMicros);
         } else if (event instanceof CompanionEvent.OrderAnswered answered && orders.containsKey(answered.target())) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
@@ -129,7 +129,7 @@
         } else if (event instanceof EntryEvent.LogReadFailed failed) {
             logReadFailed(failed.stream(), nowMicros);
         } else if (event instanceof EntryEvent.AppendSettled settled) {
-            log.settled(settled.sequence(), settled.result(), nowMicros);
+            log.onAppendResult(settled.sequence(), settled.result(), nowMicros);
         } else if (event instanceof EntryEvent.InstancesListed listed) {
             membership.listed(listed.instances(), nowMicros);
         } else if (event instanceof EntryEvent.OperatorCalled called) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
@@ -127,7 +127,7 @@
     }
 
     /** Takes the answer to an append. An answer to a batch that was read back meanwhile changes nothing. */
-    public void settled(long answeredSequence, AppendResult result, long nowMicros) {
+    public void onAppendResult(long answeredSequence, AppendResult result, long nowMicros) {
         if (phase != Phase.IN_FLIGHT || answeredSequence != sequence) {
             return;
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
@@ -30,7 +30,7 @@
     void aBatchWhoseAnswerIsLostIsNotSentAgainWhenItIsReadBack() {
         offer(1);
         pump();
-        writer.settled(1, new AppendResult.Unknown(), now);
+        writer.onAppendResult(1, new AppendResult.Unknown(), now);
         writer.read(List.of(new LogRecord(1, appended.get(0))), true);
         advance(10 * SETTINGS.readBackMicros());
 
@@ -46,7 +46,7 @@
     void aBatchThatIsAbsentIsAppendedAgainUnderItsOwnSequenceAndReadersTakeOneCopy() {
         offer(1);
         pump();
-        writer.settled(1, new AppendResult.Unknown(), now);
+        writer.onAppendResult(1, new AppendResult.Unknown(), now);
         offer(2);
         advance(SETTINGS.readBackMicros());
         assertThat(appended).as("not before a read to the end").hasSize(1);
@@ -54,7 +54,7 @@
         pump();
         assertThat(appended).hasSize(2);
         assertThat(appended.get(1)).isEqualTo(appended.get(0));
-        writer.settled(1, new AppendResult.Appended(5), now);
+        writer.onAppendResult(1, new AppendResult.Appended(5), now);
         advance(SETTINGS.intervalMicros());
         assertThat(appended.get(2).sequence()).isEqualTo(2);
 
@@ -69,17 +69,17 @@
         LogEntry refused = offer(1);
         pump();
         assertThat(writer.retract(refused)).as("in flight").isFalse();
-        writer.settled(1, new AppendResult.Refused(), now);
+        writer.onAppendResult(1, new AppendResult.Refused(), now);
         assertThat(writer.retract(refused)).as("refused").isTrue();
 
         LogEntry lost = offer(2);
         advance(SETTINGS.longestBackoffMicros());
-        writer.settled(1, new AppendResult.Unknown(), now);
+        writer.onAppendResult(1, new AppendResult.Unknown(), now);
         assertThat(writer.retract(lost)).as("lost").isFalse();
         advance(SETTINGS.readBackMicros());
         writer.read(List.of(), true);
         pump();
-        writer.settled(1, new AppendResult.Refused(), now);
+        writer.onAppendResult(1, new AppendResult.Refused(), now);
         assertThat(writer.retract(lost))
                 .as("its second copy refused, its first still out")
                 .isFalse();
@@ -96,16 +96,17 @@
         pump();
         for (long waited = 0; waited < SETTINGS.patienceMicros(); waited += 10_000) {
             if (!kind.equals("silent")) {
-                writer.settled(1, kind.equals("lost") ? new AppendResult.Unknown() : new AppendResult.Refused(), now);
+                writer.onAppendResult(
+                        1, kind.equals("lost") ? new AppendResult.Unknown() : new AppendResult.Refused(), now);
             }
             advance(10_000);
         }
         assertThat(writer.offer(entry(2), now)).isEqualTo(LogWriter.OfferResult.UNAVAILABLE);
 
         writer.read(List.of(new LogRecord(1, appended.get(0))), true);
-        writer.settled(1, new AppendResult.Appended(1), now);
+        writer.onAppendResult(1, new AppendResult.Appended(1), now);
         advance(SETTINGS.longestBackoffMicros());
-        writer.settled(1, new AppendResult.Appended(1), now);
+        writer.onAppendResult(1, new AppendResult.Appended(1), now);
         assertThat(writer.offer(entry(3), now)).isEqualTo(LogWriter.OfferResult.QUEUED);
     }
 
@@ -130,7 +131,7 @@
     void afterAnOutageWithNothingLeftToWriteOneEntryTriesTheLog() {
         LogEntry entry = offer(1);
         pump();
-        writer.settled(1, new AppendResult.Refused(), now);
+        writer.onAppendResult(1, new AppendResult.Refused(), now);
         writer.retract(entry);
         assertThat(writer.isAvailable(now)).isTrue();
         now += SETTINGS.patienceMicros();
@@ -158,7 +159,7 @@
         for (int number = 1; number <= 3; number++) {
             offer(number);
             pump();
-            writer.settled(number, new AppendResult.Appended(number), now);
+            writer.onAppendResult(number, new AppendResult.Appended(number), now);
         }
         assertThat(appended.get(0).entries()).as("one that is large").hasSize(1);
         offer(4);
@@ -166,7 +167,7 @@
         assertThat(appended).as("three after a pause, then the interval").hasSize(3);
         advance(SETTINGS.intervalMicros());
         assertThat(appended).hasSize(4);
-        writer.settled(4, new AppendResult.Appended(4), now);
+        writer.onAppendResult(4, new AppendResult.Appended(4), now);
         offer(5);
         offer(7);
         pump();
@@ -185,7 +186,7 @@
         for (int refusal = 0; refusal < 4; refusal++) {
             writer.offer(entry(1), now);
             advance(SETTINGS.longestBackoffMicros());
-            writer.settled(appended.get(appended.size() - 1).sequence(), new AppendResult.Refused(), now);
+            writer.onAppendResult(appended.get(appended.size() - 1).sequence(), new AppendResult.Refused(), now);
         }
         advance(SETTINGS.longestBackoffMicros());
         acknowledge();
@@ -206,7 +207,7 @@
 
     private void acknowledge() {
         if (!appended.isEmpty()) {
-            writer.settled(appended.get(appended.size() - 1).sequence(), new AppendResult.Appended(1), now);
+            writer.onAppendResult(appended.get(appended.size() - 1).sequence(), new AppendResult.Appended(1), now);
         }
     }
 
@@ -244,7 +245,7 @@
             long sentAt = at;
             refused.pump(at, (stream, batch) -> {
                 times.add(sentAt);
-                refused.settled(1, new AppendResult.Refused(), sentAt);
+                refused.onAppendResult(1, new AppendResult.Refused(), sentAt);
             });
         }
         List<Long> waits = new ArrayList<>();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/UnreliableLog.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/UnreliableLog.java
@@ -45,7 +45,7 @@
             if (unanswered != null) {
                 LogBatch answered = unanswered;
                 unanswered = null;
-                writer.settled(answered.sequence(), new AppendResult.Appended(1), now);
+                writer.onAppendResult(answered.sequence(), new AppendResult.Appended(1), now);
             }
             readUpTo(records.size());
             pump();
@@ -85,11 +85,11 @@
         boolean out = onTheWay.stream().anyMatch(batch -> batch == answered);
         if (out && random.nextBoolean()) {
             onTheWay.removeIf(batch -> batch == answered);
-            writer.settled(answered.sequence(), new AppendResult.Refused(), now);
+            writer.onAppendResult(answered.sequence(), new AppendResult.Refused(), now);
         } else if (out || random.nextBoolean()) {
-            writer.settled(answered.sequence(), new AppendResult.Unknown(), now);
+            writer.onAppendResult(answered.sequence(), new AppendResult.Unknown(), now);
         } else {
-            writer.settled(answered.sequence(), new AppendResult.Appended(1), now);
+            writer.onAppendResult(answered.sequence(), new AppendResult.Appended(1), now);
         }
     }
 
