--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -123,7 +123,7 @@
         // claim is read back as the holder. It shows as a second run. Attempts that waited too long are given up before
         // the records are looked at, and the wait is far shorter than any retention.
         expireWaits(nowMicros, sink);
-        writer.read(records, reachedEnd);
+        writer.onRecords(records, reachedEnd);
         for (LogRecord record : records) {
             noteOffset(record.offset());
             if (!deduplicator.admit(record, nowMicros)) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
@@ -89,7 +89,7 @@
         if (read.caughtUp()) {
             ledger.reachedEnd(nowMicros);
         }
-        log.read(read.records(), read.caughtUp());
+        log.onRecords(read.records(), read.caughtUp());
     }
 
     private void readBack(LogEntry entry, long offset, long nowMicros) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
@@ -144,7 +144,7 @@
         if (read.stream() != LogStream.CONFIGURATION) {
             return;
         }
-        log.read(read.records(), read.caughtUp());
+        log.onRecords(read.records(), read.caughtUp());
         publisher.readBack(configuration.read(read.records(), read.caughtUp()));
         publisher.tick(nowMicros);
         follow(nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
@@ -162,7 +162,7 @@
      * @param records the records, in order
      * @param caughtUp whether the read reached the log's end
      */
-    public void read(List<LogRecord> records, boolean caughtUp) {
+    public void onRecords(List<LogRecord> records, boolean caughtUp) {
         readsFail = false;
         for (LogRecord record : records) {
             LogBatch found = record.batch();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
@@ -31,7 +31,7 @@
         offer(1);
         pump();
         writer.onAppendResult(1, new AppendResult.Unknown(), now);
-        writer.read(List.of(new LogRecord(1, appended.get(0))), true);
+        writer.onRecords(List.of(new LogRecord(1, appended.get(0))), true);
         advance(10 * SETTINGS.readBackMicros());
 
         assertThat(appended).hasSize(1);
@@ -50,7 +50,7 @@
         offer(2);
         advance(SETTINGS.readBackMicros());
         assertThat(appended).as("not before a read to the end").hasSize(1);
-        writer.read(List.of(), true);
+        writer.onRecords(List.of(), true);
         pump();
         assertThat(appended).hasSize(2);
         assertThat(appended.get(1)).isEqualTo(appended.get(0));
@@ -77,7 +77,7 @@
         writer.onAppendResult(1, new AppendResult.Unknown(), now);
         assertThat(writer.retract(lost)).as("lost").isFalse();
         advance(SETTINGS.readBackMicros());
-        writer.read(List.of(), true);
+        writer.onRecords(List.of(), true);
         pump();
         writer.onAppendResult(1, new AppendResult.Refused(), now);
         assertThat(writer.retract(lost))
@@ -103,7 +103,7 @@
         }
         assertThat(writer.offer(entry(2), now)).isEqualTo(LogWriter.OfferResult.UNAVAILABLE);
 
-        writer.read(List.of(new LogRecord(1, appended.get(0))), true);
+        writer.onRecords(List.of(new LogRecord(1, appended.get(0))), true);
         writer.onAppendResult(1, new AppendResult.Appended(1), now);
         advance(SETTINGS.longestBackoffMicros());
         writer.onAppendResult(1, new AppendResult.Appended(1), now);
@@ -114,7 +114,7 @@
     void aLogThatCannotBeReadIsSaidAtOnceSinceNothingCouldBeReadBack() {
         writer.readFailed();
         assertThat(writer.offer(entry(1), now)).isEqualTo(LogWriter.OfferResult.UNAVAILABLE);
-        writer.read(List.of(), true);
+        writer.onRecords(List.of(), true);
         assertThat(writer.offer(entry(1), now)).isEqualTo(LogWriter.OfferResult.QUEUED);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/UnreliableLog.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/UnreliableLog.java
@@ -101,7 +101,7 @@
                 read.addAll(record.batch().entries());
             }
         }
-        writer.read(part, position == records.size());
+        writer.onRecords(part, position == records.size());
     }
 
     private void pump() {
