--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -144,7 +144,7 @@
 
     /** Notes that the stream couldn't be read. */
     public void readFailed() {
-        writer.readFailed();
+        writer.onReadFailed();
     }
 
     /** Takes the answer to an append. */
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
@@ -61,7 +61,7 @@
         if (event instanceof CompanionEvent.LogRead read && read.stream() == LogStream.ORDERS) {
             read(read, nowMicros);
         } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == LogStream.ORDERS) {
-            log.readFailed();
+            log.onReadFailed();
         } else if (event instanceof CompanionEvent.AppendSettled settled && settled.stream() == LogStream.ORDERS) {
             log.onAppendResult(settled.sequence(), settled.result(), nowMicros);
         } else if (event instanceof CompanionEvent.LoadReported reported && orders.containsKey(reported.target())) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
@@ -163,7 +163,7 @@
     private void logReadFailed(LogStream stream, long nowMicros) {
         logReachable = false;
         if (stream == LogStream.CONFIGURATION) {
-            log.readFailed();
+            log.onReadFailed();
             configuration.readFailed();
             publisher.tick(nowMicros);
             follow(nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
@@ -174,7 +174,7 @@
     }
 
     /** Notes that the stream couldn't be read: nothing could be read back now. */
-    public void readFailed() {
+    public void onReadFailed() {
         readsFail = true;
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
@@ -112,7 +112,7 @@
 
     @Test
     void aLogThatCannotBeReadIsSaidAtOnceSinceNothingCouldBeReadBack() {
-        writer.readFailed();
+        writer.onReadFailed();
         assertThat(writer.offer(entry(1), now)).isEqualTo(LogWriter.OfferResult.UNAVAILABLE);
         writer.onRecords(List.of(), true);
         assertThat(writer.offer(entry(1), now)).isEqualTo(LogWriter.OfferResult.QUEUED);
