--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
@@ -223,12 +223,12 @@
     }
 
     /** Returns how many entries wait or are not yet known to be in the log. */
-    public int waiting() {
+    public int pendingEntries() {
         return queue.size() + batch.size();
     }
 
     private OfferResult enqueue(LogEntry entry, int room) {
-        if (waiting() >= room) {
+        if (pendingEntries() >= room) {
             return OfferResult.FULL;
         }
         queue.addLast(entry);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
@@ -35,7 +35,7 @@
         advance(10 * SETTINGS.readBackMicros());
 
         assertThat(appended).hasSize(1);
-        assertThat(writer.waiting()).isZero();
+        assertThat(writer.pendingEntries()).isZero();
     }
 
     /**
