--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -165,7 +165,7 @@
 
     /** Sends what is due; call it at the end of each event. */
     public void pump(long nowMicros, LogWriter.Appender appender) {
-        writer.pump(nowMicros, appender);
+        writer.sendDue(nowMicros, appender);
     }
 
     /** Returns whether new keys may be claimed: the log answers, and its claims have been read. */
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
@@ -73,7 +73,7 @@
             return;
         }
         orders.forEach((name, each) -> each.advance(nowMicros, actions(name, turn)));
-        log.pump(nowMicros, (stream, batch) -> turn.ask(new CompanionEffect.Append(stream, batch)));
+        log.sendDue(nowMicros, (stream, batch) -> turn.ask(new CompanionEffect.Append(stream, batch)));
     }
 
     private TargetOrders newOrders(HeldTarget target) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
@@ -119,7 +119,7 @@
         } else {
             platform(event, nowMicros);
         }
-        log.pump(nowMicros, (stream, batch) -> outbox.emit(new EntryEffect.Append(stream, batch)));
+        log.sendDue(nowMicros, (stream, batch) -> outbox.emit(new EntryEffect.Append(stream, batch)));
         finishDraining(nowMicros);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
@@ -179,7 +179,7 @@
     }
 
     /** Sends what is due. */
-    public void pump(long nowMicros, Appender appender) {
+    public void sendDue(long nowMicros, Appender appender) {
         if (phase == Phase.IN_FLIGHT || nowMicros < notBeforeMicros) {
             return;
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
@@ -243,7 +243,7 @@
         refused.offer(entry(1), 0);
         for (long at = 0; times.size() < 8; at += 1000) {
             long sentAt = at;
-            refused.pump(at, (stream, batch) -> {
+            refused.sendDue(at, (stream, batch) -> {
                 times.add(sentAt);
                 refused.onAppendResult(1, new AppendResult.Refused(), sentAt);
             });
@@ -267,7 +267,7 @@
     }
 
     private void pump() {
-        writer.pump(now, (stream, batch) -> appended.add(batch));
+        writer.sendDue(now, (stream, batch) -> appended.add(batch));
     }
 
     static LogEntry entry(int number) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/UnreliableLog.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/UnreliableLog.java
@@ -105,7 +105,7 @@
     }
 
     private void pump() {
-        writer.pump(now, (stream, batch) -> {
+        writer.sendDue(now, (stream, batch) -> {
             unanswered = batch;
             onTheWay.add(batch);
         });
