--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -78,7 +78,7 @@
      * @param nowMicros the time
      * @param deadlineMicros when its answer would be too late
      */
-    public KeyDecision ask(AttemptId attempt, KeyedCall call, long nowMicros, long deadlineMicros) {
+    public KeyDecision admit(AttemptId attempt, KeyedCall call, long nowMicros, long deadlineMicros) {
         OwnKey known = own.find(call.key());
         if (known != null && known.phase == OwnKey.Phase.RUNNING) {
             return refusals.inProgressOrReused(known.call, call);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
@@ -58,7 +58,7 @@
                 dispatch.call());
         AttemptId attempt = dispatch.attempt();
         long deadline = turn.nowMicros() + dispatch.deadlineMicros();
-        KeyDecision decision = claims.ask(attempt, call, turn.nowMicros(), deadline);
+        KeyDecision decision = claims.admit(attempt, call, turn.nowMicros(), deadline);
         if (decision instanceof KeyDecision.Hold) {
             held.put(attempt, callback);
         } else {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/ClaimWorld.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/ClaimWorld.java
@@ -61,7 +61,7 @@
     AttemptId ask(SimulatedCompanion companion, KeyedCall call) {
         AttemptId attempt = new AttemptId(1, ++attempts, 1);
         calls.put(attempt, call);
-        KeyDecision decision = companion.claims.ask(attempt, call, now, now + 10 * SECOND);
+        KeyDecision decision = companion.claims.admit(attempt, call, now, now + 10 * SECOND);
         if (!(decision instanceof KeyDecision.Hold)) {
             decided(attempt, decision);
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
@@ -262,7 +262,8 @@
         first.claims.answered(attempt, 201, List.of(), new byte[ClaimWorld.CLAIMS.recordedBodyBytes() + 1]);
         world.settle();
 
-        KeyedDecision replay = new KeyedDecision(second.claims.ask(new AttemptId(2, 1, 1), CALL, world.now, world.now));
+        KeyedDecision replay =
+                new KeyedDecision(second.claims.admit(new AttemptId(2, 1, 1), CALL, world.now, world.now));
         assertThat(replay.answer().status()).isEqualTo(201);
         assertThat(replay.answer().body()).isEmpty();
         assertThat(replay.answer().isWhole()).isFalse();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
@@ -77,7 +77,7 @@
             AttemptId attempt = new AttemptId(1, ++sequence, 1);
             askedMicros.put(attempt, timeline.now());
             asked++;
-            KeyDecision decision = claims.ask(attempt, call, timeline.now(), timeline.now() + 10 * SECOND);
+            KeyDecision decision = claims.admit(attempt, call, timeline.now(), timeline.now() + 10 * SECOND);
             if (!(decision instanceof KeyDecision.Hold)) {
                 decided(attempt, decision);
             }
