--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -65,7 +65,7 @@
     }
 
     /** Honours the keys of a service for as long as its document says. */
-    public void honour(ServiceName service, long keyRetentionMicros) {
+    public void setKeyRetention(ServiceName service, long keyRetentionMicros) {
         expiry.honour(service, keyRetentionMicros);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
@@ -109,7 +109,7 @@
     public void configured(Collection<HeldTarget> targets, Turn turn) {
         for (HeldTarget target : targets) {
             long seconds = target.document().limits().keyRetentionSeconds();
-            claims.honour(target.service(), seconds * MICROS_PER_SECOND);
+            claims.setKeyRetention(target.service(), seconds * MICROS_PER_SECOND);
         }
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
@@ -39,7 +39,7 @@
         this.sink = sink;
         LogWriter writer = new LogWriter(LogStream.CLAIMS, incarnation, WRITER, random);
         claims = new KeyClaims(incarnation, new InstanceName(name), ClaimWorld.CLAIMS, writer, random);
-        claims.honour(ClaimWorld.SERVICE, ClaimWorld.KEY_RETENTION_MICROS);
+        claims.setKeyRetention(ClaimWorld.SERVICE, ClaimWorld.KEY_RETENTION_MICROS);
     }
 
     void pump(long now) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
@@ -53,7 +53,7 @@
             LogWriter writer = new LogWriter(LogStream.CLAIMS, number, settings, new Random(number));
             InstanceName name = new InstanceName("companion-" + number);
             claims = new KeyClaims(number, name, ClaimSettings.DEFAULT, writer, new Random(number));
-            claims.honour(SERVICE, 86_400 * SECOND);
+            claims.setKeyRetention(SERVICE, 86_400 * SECOND);
             claims.read(List.of(), true, 0, this::decided);
             log.subscribe(record -> {
                 claims.read(List.of(record), true, timeline.now(), this::decided);
