--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -94,7 +94,7 @@
     }
 
     /** Takes an attempt back: it is gone before it ran. Nothing is decided on it any more. */
-    public void giveUp(AttemptId attempt) {
+    public void cancel(AttemptId attempt) {
         OwnKey key = own.find(attempt);
         if (key != null && key.phase == OwnKey.Phase.CLAIMING) {
             abandon(key);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
@@ -86,7 +86,7 @@
     @Override
     public void ended(AttemptId attempt, Ending ending, Turn turn) {
         if (held.remove(attempt) != null) {
-            claims.giveUp(attempt);
+            claims.cancel(attempt);
             return;
         }
         Answer answer = answers.remove(attempt);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
@@ -71,7 +71,7 @@
     void aRepeatMayUseTheClaimOfAnAttemptThatWasGivenUp() {
         AttemptId givenUp = world.ask(first, CALL);
         first.answer(new AppendResult.Unknown(), world.now);
-        first.claims.giveUp(givenUp);
+        first.claims.cancel(givenUp);
         AttemptId repeat = world.ask(first, CALL);
         land();
         first.read(10, world.now);
@@ -126,7 +126,7 @@
         AttemptId givenUp = world.ask(first, CALL);
         land();
         first.answer(new AppendResult.Appended(1), world.now);
-        first.claims.giveUp(givenUp);
+        first.claims.cancel(givenUp);
         world.now += ClaimWorld.KEY_RETENTION_MICROS;
         AttemptId repeat = world.ask(first, CALL);
         assertThat(world.decisions).as("held for the old claim").isEmpty();
@@ -144,7 +144,7 @@
         AttemptId givenUp = world.ask(first, CALL);
         land();
         first.answer(new AppendResult.Unknown(), world.now);
-        first.claims.giveUp(givenUp);
+        first.claims.cancel(givenUp);
         first.read(10, world.now);
         world.now += SimulatedCompanion.WRITER.intervalMicros();
         first.tick(world.now);
@@ -188,7 +188,7 @@
     void aClaimThatTurnsUpAfterItWasForgottenIsGivenBack() {
         AttemptId givenUp = world.ask(first, CALL);
         first.answer(new AppendResult.Unknown(), world.now);
-        first.claims.giveUp(givenUp);
+        first.claims.cancel(givenUp);
         world.now += ClaimWorld.CLAIMS.logRetentionMicros() + 1;
         first.tick(world.now);
         assertThat(first.claims.isSettled()).isTrue();
