--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -102,7 +102,7 @@
     }
 
     /** Tells that an attempt which ran got this answer. */
-    public void answered(AttemptId attempt, int status, List<Header> headers, byte[] body) {
+    public void recordAnswer(AttemptId attempt, int status, List<Header> headers, byte[] body) {
         RecordedAnswer answer = RecordedAnswer.of(status, headers, body, settings.recordedBodyBytes());
         end(attempt, answer::toEntry);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
@@ -94,7 +94,7 @@
             return;
         }
         switch (ending) {
-            case ANSWERED -> claims.answered(attempt, answer.status, answer.headers, answer.body.toByteArray());
+            case ANSWERED -> claims.recordAnswer(attempt, answer.status, answer.headers, answer.body.toByteArray());
             case NOT_RUN -> claims.notRun(attempt);
             default -> claims.unresolved(attempt);
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/ClaimWorld.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/ClaimWorld.java
@@ -86,7 +86,7 @@
                 .findFirst()
                 .orElseThrow();
         switch (how) {
-            case "answered" -> companion.claims.answered(attempt, 201, List.of(), bytes(run.answer()));
+            case "answered" -> companion.claims.recordAnswer(attempt, 201, List.of(), bytes(run.answer()));
             case "not run" -> {
                 ofKey.remove(run);
                 companion.claims.notRun(attempt);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
@@ -89,7 +89,7 @@
             if (decision instanceof KeyDecision.Run) {
                 claimMicros.add(waited);
                 timeline.after(CALL_MICROS, () -> {
-                    claims.answered(attempt, 201, List.of(), new byte[40]);
+                    claims.recordAnswer(attempt, 201, List.of(), new byte[40]);
                     pump();
                 });
             } else if (decision instanceof KeyDecision.Replay) {
