--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -108,7 +108,7 @@
     }
 
     /** Tells that an attempt which was let run has not reached its target and never will. */
-    public void notRun(AttemptId attempt) {
+    public void recordNotRun(AttemptId attempt) {
         end(attempt, LogEntry.KeyRelease::new);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/ClaimWorld.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/ClaimWorld.java
@@ -89,7 +89,7 @@
             case "answered" -> companion.claims.recordAnswer(attempt, 201, List.of(), bytes(run.answer()));
             case "not run" -> {
                 ofKey.remove(run);
-                companion.claims.notRun(attempt);
+                companion.claims.recordNotRun(attempt);
             }
             default -> companion.claims.unresolved(attempt);
         }
