--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -113,7 +113,7 @@
     }
 
     /** Tells that an attempt may have run and its answer won't be known. */
-    public void unresolved(AttemptId attempt) {
+    public void recordUnresolved(AttemptId attempt) {
         end(attempt, LogEntry.KeyUnresolved::new);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
@@ -96,7 +96,7 @@
         switch (ending) {
             case ANSWERED -> claims.recordAnswer(attempt, answer.status, answer.headers, answer.body.toByteArray());
             case NOT_RUN -> claims.recordNotRun(attempt);
-            default -> claims.unresolved(attempt);
+            default -> claims.recordUnresolved(attempt);
         }
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/ClaimWorld.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/ClaimWorld.java
@@ -91,7 +91,7 @@
                 ofKey.remove(run);
                 companion.claims.recordNotRun(attempt);
             }
-            default -> companion.claims.unresolved(attempt);
+            default -> companion.claims.recordUnresolved(attempt);
         }
         companion.pump(now);
     }
