--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -118,7 +118,7 @@
     }
 
     /** Takes what was read from the stream of claims, and decides on the attempts whose claims are in it. */
-    public void read(List<LogRecord> records, boolean reachedEnd, long nowMicros, KeyDecision.Sink sink) {
+    public void onRecords(List<LogRecord> records, boolean reachedEnd, long nowMicros, KeyDecision.Sink sink) {
         // Failure: this process was frozen, a key's retention passed meanwhile and another ran it; on waking, the old
         // claim is read back as the holder. It shows as a second run. Attempts that waited too long are given up before
         // the records are looked at, and the wait is far shorter than any retention.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
@@ -118,7 +118,7 @@
         long now = turn.nowMicros();
         KeyDecision.Sink sink = (attempt, decision) -> decideHeld(attempt, decision, turn);
         if (event instanceof CompanionEvent.LogRead read && read.stream() == LogStream.CLAIMS) {
-            claims.read(read.records(), read.caughtUp(), now, sink);
+            claims.onRecords(read.records(), read.caughtUp(), now, sink);
         } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == LogStream.CLAIMS) {
             claims.readFailed();
         } else if (event instanceof CompanionEvent.AppendSettled settled && settled.stream() == LogStream.CLAIMS) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
@@ -64,7 +64,7 @@
         if (!records.isEmpty()) {
             position = records.get(records.size() - 1).offset();
         }
-        claims.read(records, records.size() < most, now, sink);
+        claims.onRecords(records, records.size() < most, now, sink);
         pump(now);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
@@ -54,9 +54,9 @@
             InstanceName name = new InstanceName("companion-" + number);
             claims = new KeyClaims(number, name, ClaimSettings.DEFAULT, writer, new Random(number));
             claims.setKeyRetention(SERVICE, 86_400 * SECOND);
-            claims.read(List.of(), true, 0, this::decided);
+            claims.onRecords(List.of(), true, 0, this::decided);
             log.subscribe(record -> {
-                claims.read(List.of(record), true, timeline.now(), this::decided);
+                claims.onRecords(List.of(record), true, timeline.now(), this::decided);
                 pump();
             });
             timeline.after(number * tickMicros / 100, this::tick);
@@ -66,7 +66,7 @@
             if (log.down) {
                 claims.readFailed();
             } else {
-                claims.read(List.of(), true, timeline.now(), this::decided);
+                claims.onRecords(List.of(), true, timeline.now(), this::decided);
             }
             claims.tick(timeline.now(), this::decided);
             pump();
