--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -143,7 +143,7 @@
     }
 
     /** Notes that the stream couldn't be read. */
-    public void readFailed() {
+    public void onReadFailed() {
         writer.onReadFailed();
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
@@ -120,7 +120,7 @@
         if (event instanceof CompanionEvent.LogRead read && read.stream() == LogStream.CLAIMS) {
             claims.onRecords(read.records(), read.caughtUp(), now, sink);
         } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == LogStream.CLAIMS) {
-            claims.readFailed();
+            claims.onReadFailed();
         } else if (event instanceof CompanionEvent.AppendSettled settled && settled.stream() == LogStream.CLAIMS) {
             claims.settled(settled.sequence(), settled.result(), now);
         } else if (event instanceof CompanionEvent.Tick) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/HomeRulesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/HomeRulesTest.java
@@ -38,7 +38,7 @@
         SimulatedCompanion isolated = world.companions.get(names.indexOf(home));
         SimulatedCompanion other = world.companions.get((names.indexOf(home) + 1) % 3);
 
-        isolated.claims.readFailed();
+        isolated.claims.onReadFailed();
         int counted = runs(rule, world, isolated, home);
         counted += runs(rule, world, other, home);
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
@@ -56,7 +56,7 @@
 
     void read(int most, long now) {
         if (log.down) {
-            claims.readFailed();
+            claims.onReadFailed();
             return;
         }
         List<LogRecord> records = log.readAbove(position, most, now);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
@@ -64,7 +64,7 @@
 
         private void tick() {
             if (log.down) {
-                claims.readFailed();
+                claims.onReadFailed();
             } else {
                 claims.onRecords(List.of(), true, timeline.now(), this::decided);
             }
