--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -148,7 +148,7 @@
     }
 
     /** Takes the answer to an append. */
-    public void settled(long sequence, AppendResult result, long nowMicros) {
+    public void onAppendResult(long sequence, AppendResult result, long nowMicros) {
         writer.onAppendResult(sequence, result, nowMicros);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
@@ -122,7 +122,7 @@
         } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == LogStream.CLAIMS) {
             claims.onReadFailed();
         } else if (event instanceof CompanionEvent.AppendSettled settled && settled.stream() == LogStream.CLAIMS) {
-            claims.settled(settled.sequence(), settled.result(), now);
+            claims.onAppendResult(settled.sequence(), settled.result(), now);
         } else if (event instanceof CompanionEvent.Tick) {
             claims.tick(now, sink);
         } else if (event instanceof CompanionEvent.DrainRequested) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
@@ -74,7 +74,7 @@
 
     /** Answers the oldest append that has no answer. */
     void answer(AppendResult result, long now) {
-        claims.settled(unanswered.poll().sequence(), result, now);
+        claims.onAppendResult(unanswered.poll().sequence(), result, now);
         pump(now);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
@@ -103,7 +103,7 @@
             claims.pump(
                     timeline.now(),
                     (stream, batch) -> log.append(batch, result -> {
-                        claims.settled(batch.sequence(), result, timeline.now());
+                        claims.onAppendResult(batch.sequence(), result, timeline.now());
                         pump();
                     }));
         }
