--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -164,7 +164,7 @@
     }
 
     /** Sends what is due; call it at the end of each event. */
-    public void pump(long nowMicros, LogWriter.Appender appender) {
+    public void sendDue(long nowMicros, LogWriter.Appender appender) {
         writer.sendDue(nowMicros, appender);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
@@ -128,7 +128,7 @@
         } else if (event instanceof CompanionEvent.DrainRequested) {
             settleByMicros = Math.min(settleByMicros, now + SETTLE_MICROS);
         }
-        claims.pump(now, (stream, batch) -> turn.ask(new CompanionEffect.Append(stream, batch)));
+        claims.sendDue(now, (stream, batch) -> turn.ask(new CompanionEffect.Append(stream, batch)));
     }
 
     private void decideHeld(AttemptId attempt, KeyDecision decision, Turn turn) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
@@ -43,7 +43,7 @@
     }
 
     void pump(long now) {
-        claims.pump(now, (stream, batch) -> {
+        claims.sendDue(now, (stream, batch) -> {
             unanswered.add(batch);
             log.send(batch, now);
         });
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
@@ -100,7 +100,7 @@
         }
 
         private void pump() {
-            claims.pump(
+            claims.sendDue(
                     timeline.now(),
                     (stream, batch) -> log.append(batch, result -> {
                         claims.onAppendResult(batch.sequence(), result, timeline.now());
