--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -180,7 +180,7 @@
     }
 
     /** Returns whether every run's end is known to be in the log. */
-    public boolean isSettled() {
+    public boolean isDrained() {
         return own.size() == 0;
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
@@ -102,7 +102,7 @@
 
     @Override
     public boolean isSettled(long nowMicros) {
-        return claims.isSettled() || nowMicros >= settleByMicros;
+        return claims.isDrained() || nowMicros >= settleByMicros;
     }
 
     @Override
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsPropertyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsPropertyTest.java
@@ -29,7 +29,7 @@
         world.now += ClaimWorld.CLAIMS.logRetentionMicros();
         world.settle();
         checkDecisions(world);
-        assertThat(world.companions).allMatch(companion -> companion.claims.isSettled());
+        assertThat(world.companions).allMatch(companion -> companion.claims.isDrained());
     }
 
     /** Once all is well, each companion has a final answer for each key, and no key stays blocked. */
@@ -48,7 +48,7 @@
     /** The log tells the end of every run and claim, but for companions that missed records in a long freeze. */
     private static void checkSettled(ClaimWorld world) {
         for (SimulatedCompanion companion : world.companions) {
-            assertThat(companion.skipped || companion.claims.isSettled()).isTrue();
+            assertThat(companion.skipped || companion.claims.isDrained()).isTrue();
         }
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
@@ -191,7 +191,7 @@
         first.claims.cancel(givenUp);
         world.now += ClaimWorld.CLAIMS.logRetentionMicros() + 1;
         first.tick(world.now);
-        assertThat(first.claims.isSettled()).isTrue();
+        assertThat(first.claims.isDrained()).isTrue();
         world.settle();
         AttemptId elsewhere = world.ask(second, CALL);
         world.settle();
