--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -284,13 +284,13 @@
             if (attempt != null) {
                 own.detach(key);
                 KeyState holder = ledger.state(key.call.key()).orElseThrow();
-                sink.decided(attempt, repeat(key.call, holder, nowMicros));
+                sink.onDecision(attempt, repeat(key.call, holder, nowMicros));
             }
             return;
         }
         if (attempt != null && nowMicros - key.claimedMicros >= expiry.longestGrantMicros(key.call.service())) {
             own.detach(key);
-            sink.decided(attempt, logUnavailable(nowMicros, "the claim is too old"));
+            sink.onDecision(attempt, logUnavailable(nowMicros, "the claim is too old"));
         }
         if (key.attempt == null) {
             // Failure: the caller was told "not run" since the log didn't answer, and the claim turned up later. Its
@@ -301,7 +301,7 @@
             return;
         }
         key.phase = OwnKey.Phase.RUNNING;
-        sink.decided(attempt, new KeyDecision.Run());
+        sink.onDecision(attempt, new KeyDecision.Run());
     }
 
     private void end(AttemptId attempt, Function<Digest, LogEntry> entry) {
@@ -335,7 +335,7 @@
                 continue;
             }
             abandon(key);
-            sink.decided(attempt, logUnavailable(nowMicros, "the claim was not read back in time"));
+            sink.onDecision(attempt, logUnavailable(nowMicros, "the claim was not read back in time"));
         }
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyDecision.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyDecision.java
@@ -29,6 +29,6 @@
     @FunctionalInterface
     interface Sink {
         /** Takes the one decision on a held attempt; never {@link Hold}. */
-        void decided(AttemptId attempt, KeyDecision decision);
+        void onDecision(AttemptId attempt, KeyDecision decision);
     }
 }
