--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -118,7 +118,7 @@
     }
 
     /** Takes what was read from the stream of claims, and decides on the attempts whose claims are in it. */
-    public void onRecords(List<LogRecord> records, boolean reachedEnd, long nowMicros, KeyDecision.Sink sink) {
+    public void onRecords(List<LogRecord> records, boolean reachedEnd, long nowMicros, KeyDecision.Listener sink) {
         // Failure: this process was frozen, a key's retention passed meanwhile and another ran it; on waking, the old
         // claim is read back as the holder. It shows as a second run. Attempts that waited too long are given up before
         // the records are looked at, and the wait is far shorter than any retention.
@@ -153,7 +153,7 @@
     }
 
     /** Gives up attempts whose wait is over, and notes expired keys; call it at each tick. */
-    public void tick(long nowMicros, KeyDecision.Sink sink) {
+    public void tick(long nowMicros, KeyDecision.Listener sink) {
         expireWaits(nowMicros, sink);
         // Failure: this process was frozen for longer than the log keeps records, and its own entries were dropped
         // before it read them: their keys would be refused for ever. A claim that turns up after all is given back.
@@ -264,7 +264,7 @@
         expiry.read(offset);
     }
 
-    private void readBack(LogEntry entry, boolean tookHold, long nowMicros, KeyDecision.Sink sink) {
+    private void readBack(LogEntry entry, boolean tookHold, long nowMicros, KeyDecision.Listener sink) {
         if (entry instanceof LogEntry.KeyClaim claim) {
             OwnKey key = own.find(claim.key());
             if (key == null && tookHold) {
@@ -277,7 +277,7 @@
         own.removeEndedBy(entry);
     }
 
-    private void claimReadBack(OwnKey key, boolean tookHold, long nowMicros, KeyDecision.Sink sink) {
+    private void claimReadBack(OwnKey key, boolean tookHold, long nowMicros, KeyDecision.Listener sink) {
         AttemptId attempt = key.attempt;
         if (!tookHold) {
             own.remove(key);
@@ -328,7 +328,7 @@
         }
     }
 
-    private void expireWaits(long nowMicros, KeyDecision.Sink sink) {
+    private void expireWaits(long nowMicros, KeyDecision.Listener sink) {
         for (OwnKey key : own.overdue(nowMicros)) {
             AttemptId attempt = key.attempt;
             if (attempt == null) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyDecision.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyDecision.java
@@ -27,7 +27,7 @@
 
     /** Takes the decisions on attempts that were held. */
     @FunctionalInterface
-    interface Sink {
+    interface Listener {
         /** Takes the one decision on a held attempt; never {@link Hold}. */
         void onDecision(AttemptId attempt, KeyDecision decision);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
@@ -116,7 +116,7 @@
     @Override
     public void handle(CompanionEvent event, Turn turn) {
         long now = turn.nowMicros();
-        KeyDecision.Sink sink = (attempt, decision) -> decideHeld(attempt, decision, turn);
+        KeyDecision.Listener sink = (attempt, decision) -> decideHeld(attempt, decision, turn);
         if (event instanceof CompanionEvent.LogRead read && read.stream() == LogStream.CLAIMS) {
             claims.onRecords(read.records(), read.caughtUp(), now, sink);
         } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == LogStream.CLAIMS) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
@@ -30,9 +30,9 @@
     boolean skipped;
 
     private final SharedLog log;
-    private final KeyDecision.Sink sink;
+    private final KeyDecision.Listener sink;
 
-    SimulatedCompanion(String name, long incarnation, SharedLog log, Random random, KeyDecision.Sink sink) {
+    SimulatedCompanion(String name, long incarnation, SharedLog log, Random random, KeyDecision.Listener sink) {
         this.name = name;
         this.incarnation = incarnation;
         this.log = log;
