--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/ClaimSettings.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/ClaimSettings.java
@@ -3,7 +3,7 @@
 /**
  * Bounds and waits of a {@link KeyClaims}.
  *
- * @param claimWaitMicros how long an attempt waits for its claim at the most; far less than any key retention
+ * @param claimTimeoutMicros how long an attempt waits for its claim at the most; far less than any key retention
  * @param inProgressMicros how long another's claim without an outcome counts as running
  * @param recordedBodyBytes the largest body that is recorded
  * @param bodyBudget the most bytes of recorded bodies kept in memory
@@ -11,7 +11,7 @@
  * @param logRetentionMicros how long the log keeps a record
  */
 public record ClaimSettings(
-        long claimWaitMicros,
+        long claimTimeoutMicros,
         long inProgressMicros,
         int recordedBodyBytes,
         long bodyBudget,
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -58,7 +58,7 @@
         this.instance = instance;
         this.settings = settings;
         this.writer = writer;
-        this.refusals = new KeyRefusals(settings.claimWaitMicros(), random);
+        this.refusals = new KeyRefusals(settings.claimTimeoutMicros(), random);
         this.ledger = new KeyLedger(settings.bodyBudget());
         this.deduplicator = new BatchDeduplicator(settings.logRetentionMicros());
         this.expiry = new KeyExpiry(ledger, random);
@@ -244,7 +244,7 @@
     }
 
     private void hold(OwnKey key, AttemptId attempt, long nowMicros, long deadlineMicros) {
-        own.attach(key, attempt, Math.min(deadlineMicros, nowMicros + settings.claimWaitMicros()));
+        own.attach(key, attempt, Math.min(deadlineMicros, nowMicros + settings.claimTimeoutMicros()));
     }
 
     private void sayStarted() {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
@@ -49,7 +49,7 @@
     void aClaimThatLandsAfterTheCallerWasToldNotRunNeverRunsAndDoesNotBlockTheRetry(boolean sameCompanion) {
         AttemptId refused = world.ask(first, CALL);
         first.answer(new AppendResult.Unknown(), world.now);
-        world.now += ClaimWorld.CLAIMS.claimWaitMicros();
+        world.now += ClaimWorld.CLAIMS.claimTimeoutMicros();
         first.tick(world.now);
         assertThat(kind(refused)).isEqualTo(ErrorKind.LOG_UNAVAILABLE);
         first.read(10, world.now);
