--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/ClaimSettings.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/ClaimSettings.java
@@ -5,7 +5,7 @@
  *
  * @param claimTimeoutMicros how long an attempt waits for its claim at the most; far less than any key retention
  * @param inProgressMicros how long another's claim without an outcome counts as running
- * @param recordedBodyBytes the largest body that is recorded
+ * @param maxRecordedBodyBytes the largest body that is recorded
  * @param bodyBudget the most bytes of recorded bodies kept in memory
  * @param capacity the most keys with work of this process at once
  * @param logRetentionMicros how long the log keeps a record
@@ -13,7 +13,7 @@
 public record ClaimSettings(
         long claimTimeoutMicros,
         long inProgressMicros,
-        int recordedBodyBytes,
+        int maxRecordedBodyBytes,
         long bodyBudget,
         int capacity,
         long logRetentionMicros) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -103,7 +103,7 @@
 
     /** Tells that an attempt which ran got this answer. */
     public void recordAnswer(AttemptId attempt, int status, List<Header> headers, byte[] body) {
-        RecordedAnswer answer = RecordedAnswer.of(status, headers, body, settings.recordedBodyBytes());
+        RecordedAnswer answer = RecordedAnswer.of(status, headers, body, settings.maxRecordedBodyBytes());
         end(attempt, answer::toEntry);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
@@ -78,8 +78,8 @@
     @Override
     public void chunk(AttemptId attempt, byte[] bytes) {
         Answer answer = answers.get(attempt);
-        if (answer != null && answer.body.size() <= settings.recordedBodyBytes()) {
-            answer.body.write(bytes, 0, Math.min(bytes.length, settings.recordedBodyBytes() + 1));
+        if (answer != null && answer.body.size() <= settings.maxRecordedBodyBytes()) {
+            answer.body.write(bytes, 0, Math.min(bytes.length, settings.maxRecordedBodyBytes() + 1));
         }
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
@@ -259,7 +259,7 @@
         land();
         first.read(10, world.now);
         first.running.clear();
-        first.claims.recordAnswer(attempt, 201, List.of(), new byte[ClaimWorld.CLAIMS.recordedBodyBytes() + 1]);
+        first.claims.recordAnswer(attempt, 201, List.of(), new byte[ClaimWorld.CLAIMS.maxRecordedBodyBytes() + 1]);
         world.settle();
 
         KeyedDecision replay =
