--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/RecordedAnswer.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/RecordedAnswer.java
@@ -10,12 +10,12 @@
  * The answer of a call as repeats of its key get it.
  *
  * @param status the HTTP status
- * @param headers the headers, among them {@link #MARK}
+ * @param headers the headers, among them {@link #SOURCE_HEADER}
  * @param body the body; empty if it was too large to be recorded, as the mark then says; shared, never written to
  */
 public record RecordedAnswer(int status, List<Header> headers, byte[] body) {
     /** The header by which a caller tells a recorded answer from that of a run. */
-    public static final String MARK = "Rattanrudder-Answer";
+    public static final String SOURCE_HEADER = "Rattanrudder-Answer";
     /** The mark of an answer that is the recorded one, whole. */
     public static final String WHOLE = "recorded";
     /** The mark of an answer of which only the status and headers were recorded. */
@@ -36,7 +36,7 @@
 
     /** Returns whether the body is there. */
     public boolean isWhole() {
-        return headers.contains(new Header(MARK, WHOLE));
+        return headers.contains(new Header(SOURCE_HEADER, WHOLE));
     }
 
     static RecordedAnswer of(LogEntry.KeyOutcome outcome) {
@@ -55,11 +55,11 @@
         List<Header> result = new ArrayList<>(headers.size() + 1);
         for (Header header : headers) {
             boolean bodyLength = header.name().equalsIgnoreCase("Content-Length");
-            if (!bodyLength && !header.name().equalsIgnoreCase(MARK)) {
+            if (!bodyLength && !header.name().equalsIgnoreCase(SOURCE_HEADER)) {
                 result.add(header);
             }
         }
-        result.add(new Header(MARK, mark));
+        result.add(new Header(SOURCE_HEADER, mark));
         return result;
     }
 }
