--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/RecordedAnswer.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/RecordedAnswer.java
@@ -17,7 +17,7 @@
     /** The header by which a caller tells a recorded answer from that of a run. */
     public static final String SOURCE_HEADER = "Rattanrudder-Answer";
     /** The mark of an answer that is the recorded one, whole. */
-    public static final String WHOLE = "recorded";
+    public static final String COMPLETE = "recorded";
     /** The mark of an answer of which only the status and headers were recorded. */
     public static final String STATUS_ONLY = "status-only";
 
@@ -31,12 +31,12 @@
     /** Returns what is recorded of an answer: a body above the bound is left out, and the mark says so. */
     public static RecordedAnswer of(int status, List<Header> headers, byte[] body, int bodyBytesBound) {
         boolean whole = body.length <= bodyBytesBound;
-        return new RecordedAnswer(status, marked(headers, whole ? WHOLE : STATUS_ONLY), whole ? body : NO_BODY);
+        return new RecordedAnswer(status, marked(headers, whole ? COMPLETE : STATUS_ONLY), whole ? body : NO_BODY);
     }
 
     /** Returns whether the body is there. */
     public boolean isWhole() {
-        return headers.contains(new Header(SOURCE_HEADER, WHOLE));
+        return headers.contains(new Header(SOURCE_HEADER, COMPLETE));
     }
 
     static RecordedAnswer of(LogEntry.KeyOutcome outcome) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/ClaimGateTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/ClaimGateTest.java
@@ -45,7 +45,7 @@
         for (long sequence : new long[] {3, 4}) {
             assertThat(body(sequence)).isEqualTo("{\"id\":1}");
             assertThat(heads(sequence).get(0).headers())
-                    .contains(new Header(RecordedAnswer.SOURCE_HEADER, RecordedAnswer.WHOLE));
+                    .contains(new Header(RecordedAnswer.SOURCE_HEADER, RecordedAnswer.COMPLETE));
         }
     }
 
