--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationUpkeep.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationRefresher.java
@@ -15,7 +15,7 @@
  * refresh changes nothing. The age of a text is counted in indexes, which the log itself holds, so that it doesn't
  * start anew with each process that is replaced.
  */
-public final class ConfigurationUpkeep {
+public final class ConfigurationRefresher {
     private static final long NOT_DRAWN = -1;
 
     private final UpkeepSettings settings;
@@ -31,7 +31,7 @@
      * @param settings how often
      * @param random draws the times
      */
-    public ConfigurationUpkeep(UpkeepSettings settings, RandomGenerator random) {
+    public ConfigurationRefresher(UpkeepSettings settings, RandomGenerator random) {
         this.settings = settings;
         this.random = random;
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import org.rattanrudder.core.configuration.ConfigurationLedger;
-import org.rattanrudder.core.configuration.ConfigurationUpkeep;
+import org.rattanrudder.core.configuration.ConfigurationRefresher;
 import org.rattanrudder.core.configuration.DocumentChange;
 import org.rattanrudder.core.configuration.DocumentRevision;
 import org.rattanrudder.core.configuration.EditDecision;
@@ -20,7 +20,7 @@
 final class Configuration {
     private final ServiceDocuments documents;
     private final PeerConfiguration peers;
-    private final ConfigurationUpkeep upkeep;
+    private final ConfigurationRefresher upkeep;
     private final ServiceTable services;
     private final LogWriter log;
     private final Outbox outbox;
@@ -29,7 +29,7 @@
     Configuration(DocumentReader reader, ServiceTable services, LogWriter log, RandomGenerator random, Outbox outbox) {
         this.documents = new ServiceDocuments(reader);
         this.peers = new PeerConfiguration(documents.ledger());
-        this.upkeep = new ConfigurationUpkeep(UpkeepSettings.DEFAULT, random);
+        this.upkeep = new ConfigurationRefresher(UpkeepSettings.DEFAULT, random);
         this.services = services;
         this.log = log;
         this.outbox = outbox;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationUpkeepTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationUpkeepTest.java
@@ -128,7 +128,7 @@
 
     private final class Entry {
         private final ConfigurationLedger ledger = new ConfigurationLedger();
-        private final ConfigurationUpkeep upkeep = new ConfigurationUpkeep(SETTINGS, random);
+        private final ConfigurationRefresher upkeep = new ConfigurationRefresher(SETTINGS, random);
         private int next = 1;
 
         void tick() {
