--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationRefresher.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationRefresher.java
@@ -18,7 +18,7 @@
 public final class ConfigurationRefresher {
     private static final long NOT_DRAWN = -1;
 
-    private final UpkeepSettings settings;
+    private final RefresherSettings settings;
     private final RandomGenerator random;
     private final Map<ServiceName, Long> refreshMicros = new HashMap<>();
     private long indexesSeen = NOT_DRAWN;
@@ -31,7 +31,7 @@
      * @param settings how often
      * @param random draws the times
      */
-    public ConfigurationRefresher(UpkeepSettings settings, RandomGenerator random) {
+    public ConfigurationRefresher(RefresherSettings settings, RandomGenerator random) {
         this.settings = settings;
         this.random = random;
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/UpkeepSettings.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/RefresherSettings.java
@@ -10,14 +10,14 @@
  * @param refreshAfterIndexes after how many indexes a text is written again
  * @param recoveryMicros after how long without any index a process that lacks records writes what it knows
  */
-public record UpkeepSettings(long periodMicros, int refreshAfterIndexes, long recoveryMicros) {
+public record RefresherSettings(long periodMicros, int refreshAfterIndexes, long recoveryMicros) {
     private static final long MINUTE_MICROS = 60_000_000;
 
     /** An index each ten minutes, a text each three hours or so. */
-    public static final UpkeepSettings DEFAULT = new UpkeepSettings(10 * MINUTE_MICROS, 18, 60 * MINUTE_MICROS);
+    public static final RefresherSettings DEFAULT = new RefresherSettings(10 * MINUTE_MICROS, 18, 60 * MINUTE_MICROS);
 
     /** Refuses bounds that aren't positive with an {@link IllegalArgumentException}. */
-    public UpkeepSettings {
+    public RefresherSettings {
         if (periodMicros < 2 || refreshAfterIndexes < 1 || recoveryMicros < periodMicros) {
             throw new IllegalArgumentException("upkeep needs a period, a count and a longer time for recovery");
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
@@ -8,8 +8,8 @@
 import org.rattanrudder.core.configuration.DocumentRevision;
 import org.rattanrudder.core.configuration.EditDecision;
 import org.rattanrudder.core.configuration.PeerConfiguration;
+import org.rattanrudder.core.configuration.RefresherSettings;
 import org.rattanrudder.core.configuration.ServiceDocuments;
-import org.rattanrudder.core.configuration.UpkeepSettings;
 import org.rattanrudder.core.document.DocumentReader;
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.log.LogRecord;
@@ -29,7 +29,7 @@
     Configuration(DocumentReader reader, ServiceTable services, LogWriter log, RandomGenerator random, Outbox outbox) {
         this.documents = new ServiceDocuments(reader);
         this.peers = new PeerConfiguration(documents.ledger());
-        this.upkeep = new ConfigurationRefresher(UpkeepSettings.DEFAULT, random);
+        this.upkeep = new ConfigurationRefresher(RefresherSettings.DEFAULT, random);
         this.services = services;
         this.log = log;
         this.outbox = outbox;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationUpkeepTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationUpkeepTest.java
@@ -20,7 +20,7 @@
 class ConfigurationUpkeepTest {
     private static final long MINUTE = 60_000_000;
     private static final long HOUR = 60 * MINUTE;
-    private static final UpkeepSettings SETTINGS = UpkeepSettings.DEFAULT;
+    private static final RefresherSettings SETTINGS = RefresherSettings.DEFAULT;
 
     /** What the log must keep by the settings: thrice the age of a text, and an outage of an hour. */
     private static final long RETENTION = 10 * HOUR;
