--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/DocumentsInForce.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/DocumentsInForce.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.rattanrudder.core.configuration.DocumentChange;
-import org.rattanrudder.core.configuration.PeerConfiguration;
+import org.rattanrudder.core.configuration.PeerConfigurationExchange;
 import org.rattanrudder.core.configuration.ServiceDocuments;
 import org.rattanrudder.core.document.DocumentReader;
 import org.rattanrudder.core.document.ServiceDocument;
@@ -12,11 +12,11 @@
 /** The documents in force at this companion, from the log or, while it can't be read, from the entries. */
 final class DocumentsInForce {
     private final ServiceDocuments documents;
-    private final PeerConfiguration peers;
+    private final PeerConfigurationExchange peers;
 
     DocumentsInForce(DocumentReader reader) {
         documents = new ServiceDocuments(reader);
-        peers = new PeerConfiguration(documents.ledger());
+        peers = new PeerConfigurationExchange(documents.ledger());
     }
 
     /** Takes records from the log; returns whether a document changed. */
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfiguration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
@@ -13,7 +13,7 @@
  * higher revision replaces one in force. When the log comes back, its records below what the peer had read are known
  * already, and those above are decided as everywhere.
  */
-public final class PeerConfiguration {
+public final class PeerConfigurationExchange {
     /** The least time between two questions, in microseconds. */
     static final long ASK_MICROS = 1_000_000;
 
@@ -22,7 +22,7 @@
     private long nextAskMicros;
 
     /** Serves and fills this ledger; until the first read the log counts as not readable. */
-    public PeerConfiguration(ConfigurationLedger ledger) {
+    public PeerConfigurationExchange(ConfigurationLedger ledger) {
         this.ledger = ledger;
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
@@ -7,7 +7,7 @@
 import org.rattanrudder.core.configuration.DocumentChange;
 import org.rattanrudder.core.configuration.DocumentRevision;
 import org.rattanrudder.core.configuration.EditDecision;
-import org.rattanrudder.core.configuration.PeerConfiguration;
+import org.rattanrudder.core.configuration.PeerConfigurationExchange;
 import org.rattanrudder.core.configuration.RefresherSettings;
 import org.rattanrudder.core.configuration.ServiceDocuments;
 import org.rattanrudder.core.document.DocumentReader;
@@ -19,7 +19,7 @@
 /** Puts the documents of the configuration stream into force, and keeps them alive there. */
 final class Configuration {
     private final ServiceDocuments documents;
-    private final PeerConfiguration peers;
+    private final PeerConfigurationExchange peers;
     private final ConfigurationRefresher upkeep;
     private final ServiceTable services;
     private final LogWriter log;
@@ -28,7 +28,7 @@
 
     Configuration(DocumentReader reader, ServiceTable services, LogWriter log, RandomGenerator random, Outbox outbox) {
         this.documents = new ServiceDocuments(reader);
-        this.peers = new PeerConfiguration(documents.ledger());
+        this.peers = new PeerConfigurationExchange(documents.ledger());
         this.upkeep = new ConfigurationRefresher(RefresherSettings.DEFAULT, random);
         this.services = services;
         this.log = log;
