--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/DocumentsInForce.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/DocumentsInForce.java
@@ -21,7 +21,7 @@
 
     /** Takes records from the log; returns whether a document changed. */
     boolean read(List<LogRecord> records, Turn turn) {
-        peers.logRead();
+        peers.onLogRead();
         return take(records, turn);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
@@ -27,7 +27,7 @@
     }
 
     /** Takes note that the configuration stream was read. */
-    public void logRead() {
+    public void onLogRead() {
         logReadable = true;
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
@@ -52,7 +52,7 @@
     /** Takes records of the log; returns what became of the edits in them. */
     List<EditDecision> read(List<LogRecord> records, boolean atEnd) {
         caughtUp |= atEnd;
-        peers.logRead();
+        peers.onLogRead();
         return take(records);
     }
 
