--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/DocumentsInForce.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/DocumentsInForce.java
@@ -26,7 +26,7 @@
     }
 
     void readFailed() {
-        peers.logReadFailed();
+        peers.onLogReadFailed();
     }
 
     void linked(long link, Turn turn) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
@@ -32,7 +32,7 @@
     }
 
     /** Takes note that the configuration stream couldn't be read. */
-    public void logReadFailed() {
+    public void onLogReadFailed() {
         logReadable = false;
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
@@ -57,7 +57,7 @@
     }
 
     void readFailed() {
-        peers.logReadFailed();
+        peers.onLogReadFailed();
     }
 
     void linked(Address companion, long nowMicros) {
