--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/DocumentsInForce.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/DocumentsInForce.java
@@ -30,7 +30,7 @@
     }
 
     void linked(long link, Turn turn) {
-        peers.greeting(turn.nowMicros()).ifPresent(question -> send(link, question, turn));
+        peers.requestOnLinkOpened(turn.nowMicros()).ifPresent(question -> send(link, question, turn));
     }
 
     /** Takes a frame about configuration or a heartbeat; returns whether a document changed. */
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
@@ -45,7 +45,7 @@
      * Returns the question to a peer that has just linked, if there is one: a process that starts during an outage
      * knows nothing, and its peer may.
      */
-    public Optional<Frame> greeting(long nowMicros) {
+    public Optional<Frame> requestOnLinkOpened(long nowMicros) {
         return needsPeers() && ledger.readTo() == 0 ? ask(nowMicros) : Optional.empty();
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
@@ -61,7 +61,7 @@
     }
 
     void linked(Address companion, long nowMicros) {
-        peers.greeting(nowMicros).ifPresent(question -> outbox.send(companion, question));
+        peers.requestOnLinkOpened(nowMicros).ifPresent(question -> outbox.send(companion, question));
     }
 
     void heard(Address companion, Frame.Heartbeat heartbeat, long nowMicros) {
