--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/DocumentsInForce.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/DocumentsInForce.java
@@ -36,7 +36,8 @@
     /** Takes a frame about configuration or a heartbeat; returns whether a document changed. */
     boolean hear(long link, Frame frame, Turn turn) {
         if (frame instanceof Frame.Heartbeat heartbeat) {
-            peers.heard(heartbeat.revisions(), turn.nowMicros()).ifPresent(question -> send(link, question, turn));
+            peers.requestOnHeartbeat(heartbeat.revisions(), turn.nowMicros())
+                    .ifPresent(question -> send(link, question, turn));
         } else if (frame instanceof Frame.ConfigurationRequest request) {
             peers.answer(request).forEach(answer -> send(link, answer, turn));
         } else if (frame instanceof Frame.ConfigurationRecords told && peers.needsPeers()) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
@@ -55,7 +55,7 @@
      * @param revisions what is in force at the peer
      * @param nowMicros the time in microseconds
      */
-    public Optional<Frame> heard(List<Frame.ServiceRevision> revisions, long nowMicros) {
+    public Optional<Frame> requestOnHeartbeat(List<Frame.ServiceRevision> revisions, long nowMicros) {
         if (!needsPeers() || nowMicros < nextAskMicros) {
             return Optional.empty();
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
@@ -65,7 +65,8 @@
     }
 
     void heard(Address companion, Frame.Heartbeat heartbeat, long nowMicros) {
-        peers.heard(heartbeat.revisions(), nowMicros).ifPresent(question -> outbox.send(companion, question));
+        peers.requestOnHeartbeat(heartbeat.revisions(), nowMicros)
+                .ifPresent(question -> outbox.send(companion, question));
     }
 
     void asked(Address companion, Frame.ConfigurationRequest request) {
