--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/DocumentsInForce.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/DocumentsInForce.java
@@ -55,7 +55,7 @@
     }
 
     private boolean take(List<LogRecord> records, Turn turn) {
-        documents.take(records);
+        documents.apply(records);
         boolean changed = false;
         for (DocumentChange change : documents.update()) {
             changed |= change instanceof DocumentChange.InForce;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ServiceDocuments.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ServiceDocuments.java
@@ -39,7 +39,7 @@
      * @param records in the order of their offsets
      * @return what became of the edits in them
      */
-    public List<EditDecision> take(List<LogRecord> records) {
+    public List<EditDecision> apply(List<LogRecord> records) {
         List<EditDecision> decisions = new ArrayList<>();
         for (LogRecord record : records) {
             decisions.addAll(ledger.take(record));
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
@@ -87,7 +87,7 @@
     }
 
     private List<EditDecision> take(List<LogRecord> records) {
-        List<EditDecision> decisions = documents.take(records);
+        List<EditDecision> decisions = documents.apply(records);
         for (DocumentChange change : documents.update()) {
             if (change instanceof DocumentChange.InForce inForce) {
                 String text = documents
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ServiceDocumentsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ServiceDocumentsTest.java
@@ -27,16 +27,16 @@
         ServiceDocuments newer = new ServiceDocuments(text -> reading(text, false));
         List<LogRecord> log = List.of(edit(1, 0, "old"), edit(2, 1, "new field"), edit(3, 2, "old again"));
         for (ServiceDocuments each : List.of(older, newer)) {
-            each.take(log.subList(0, 1));
+            each.apply(log.subList(0, 1));
             each.update();
-            each.take(log.subList(1, 2));
+            each.apply(log.subList(1, 2));
         }
         assertThat(older.update())
                 .containsExactly(new DocumentChange.Unreadable(PALIVO, 2, "line 1, column 4: unknown key"));
         assertThat(newer.update()).hasOnlyElementsOfType(DocumentChange.InForce.class);
         assertThat(older.revisions()).containsExactly(new Frame.ServiceRevision(PALIVO, 1));
         assertThat(older.ledger().revision(PALIVO)).isEqualTo(2);
-        older.take(log.subList(2, 3));
+        older.apply(log.subList(2, 3));
         older.update();
         assertThat(older.revisions()).containsExactly(new Frame.ServiceRevision(PALIVO, 3));
     }
@@ -48,7 +48,7 @@
             readings[0]++;
             return reading(text, false);
         });
-        documents.take(List.of(edit(1, 0, "a"), edit(2, 1, "b"), edit(3, 2, "c")));
+        documents.apply(List.of(edit(1, 0, "a"), edit(2, 1, "b"), edit(3, 2, "c")));
         assertThat(documents.update()).extracting(DocumentChange::revision).containsExactly(3L);
         assertThat(documents.update()).isEmpty();
         assertThat(readings[0]).isEqualTo(1);
