--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationLedger.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationLedger.java
@@ -48,7 +48,7 @@
      * @param record the record
      * @return what became of the edits in it, in order; empty for a record that was read before
      */
-    public List<EditDecision> take(LogRecord record) {
+    public List<EditDecision> apply(LogRecord record) {
         List<EditDecision> decisions = new ArrayList<>();
         if (record.offset() <= readTo) {
             // A late copy must not be judged again, against a newer state. What its refreshes say stays true.
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ServiceDocuments.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ServiceDocuments.java
@@ -42,7 +42,7 @@
     public List<EditDecision> apply(List<LogRecord> records) {
         List<EditDecision> decisions = new ArrayList<>();
         for (LogRecord record : records) {
-            decisions.addAll(ledger.take(record));
+            decisions.addAll(ledger.apply(record));
         }
         return decisions;
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ConfigurationBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ConfigurationBench.java
@@ -42,7 +42,7 @@
         for (int run = 0; run < WARM_UP + RUNS; run++) {
             long began = System.nanoTime();
             ConfigurationLedger ledger = new ConfigurationLedger();
-            day.forEach(ledger::take);
+            day.forEach(ledger::apply);
             long took = System.nanoTime() - began;
             if (ledger.documents().size() != services) {
                 throw new IllegalStateException("the fold lost a service");
@@ -91,7 +91,7 @@
 
     private static void add(List<LogRecord> day, ConfigurationLedger ledger, LogEntry entry) {
         LogRecord record = new LogRecord(day.size() + 1, new LogBatch(1, day.size() + 1, List.of(entry)));
-        ledger.take(record);
+        ledger.apply(record);
         day.add(record);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationLedgerPropertyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationLedgerPropertyTest.java
@@ -73,9 +73,9 @@
         Map<String, Long> highest = new HashMap<>();
         int offset = from;
         while (offset <= naive.end()) {
-            ledger.take(naive.record(offset));
+            ledger.apply(naive.record(offset));
             if (random.nextInt(4) == 0) {
-                ledger.take(naive.record(from + random.nextInt(offset - from + 1)));
+                ledger.apply(naive.record(from + random.nextInt(offset - from + 1)));
             }
             compare(ledger, highest);
             if (withPeer && random.nextInt(8) == 0) {
@@ -92,10 +92,10 @@
         int peerFrom = 1 + random.nextInt(naive.end());
         int peerTo = peerFrom + random.nextInt(naive.end() - peerFrom + 1);
         for (int offset = peerFrom; offset <= peerTo; offset++) {
-            peer.take(naive.record(offset));
+            peer.apply(naive.record(offset));
         }
         for (LogRecord record : peer.snapshot()) {
-            ledger.take(record);
+            ledger.apply(record);
         }
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationLedgerTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationLedgerTest.java
@@ -32,10 +32,10 @@
     @ParameterizedTest(name = "an edit {0} is {2}")
     @MethodSource("baseAndVerdict")
     void anEditHoldsOnlyFromTheRevisionInForce(String description, long base, Verdict verdict) {
-        ledger.take(record(1, edit(0, "first")));
-        ledger.take(record(2, edit(1, "second")));
-        ledger.take(record(3, edit(1, "too late")));
-        List<EditDecision> decisions = ledger.take(record(4, edit(base, "third")));
+        ledger.apply(record(1, edit(0, "first")));
+        ledger.apply(record(2, edit(1, "second")));
+        ledger.apply(record(3, edit(1, "too late")));
+        List<EditDecision> decisions = ledger.apply(record(4, edit(base, "third")));
         assertThat(decisions).singleElement().extracting(EditDecision::verdict).isEqualTo(verdict);
         assertThat(ledger.revision(PALIVO)).isEqualTo(verdict == Verdict.ACCEPTED ? 4 : 2);
     }
@@ -44,9 +44,9 @@
     void aRefreshByALaggingProcessDoesNotRevertANewerEdit() {
         // An operator sees its accepted change undone an hour later. A process that had not yet read the edit appended
         // the older document again to keep it alive, behind the edit; readers took the later place for the newer text.
-        ledger.take(record(1, edit(0, "old")));
-        ledger.take(record(2, edit(1, "new")));
-        ledger.take(record(3, refresh(1, "old")));
+        ledger.apply(record(1, edit(0, "old")));
+        ledger.apply(record(2, edit(1, "new")));
+        ledger.apply(record(3, refresh(1, "old")));
         assertThat(ledger.document(PALIVO)).hasValue(new DocumentRevision(PALIVO, 2, Optional.of("new"), 0));
     }
 
@@ -62,11 +62,11 @@
                 record(4, edit(1, "void")),
                 record(5, new LogEntry.RevisionIndex(4, List.of(new LogEntry.Revision(PALIVO, 2)))),
                 record(6, refresh(2, "new")));
-        log.forEach(ledger::take);
-        log.subList(2, 4).forEach(late::take);
+        log.forEach(ledger::apply);
+        log.subList(2, 4).forEach(late::apply);
         assertThat(late.isSettled()).isFalse();
         assertThat(late.revision(PALIVO)).isEqualTo(1);
-        log.subList(4, 6).forEach(late::take);
+        log.subList(4, 6).forEach(late::apply);
         assertThat(late.isSettled()).isTrue();
         assertThat(late.documents()).extracting(DocumentRevision::revision).containsExactly(ledger.revision(PALIVO));
         assertThat(late.document(PALIVO).flatMap(DocumentRevision::text)).hasValue("new");
@@ -77,10 +77,10 @@
         // A replaced process serves by an old document though all others moved on. The index that it began with was
         // written by a process which had not read the edit that got into the log just before it.
         ConfigurationLedger late = new ConfigurationLedger();
-        late.take(record(7, edit(3, "new")));
-        late.take(record(8, new LogEntry.RevisionIndex(6, List.of(new LogEntry.Revision(PALIVO, 3)))));
+        late.apply(record(7, edit(3, "new")));
+        late.apply(record(8, new LogEntry.RevisionIndex(6, List.of(new LogEntry.Revision(PALIVO, 3)))));
         assertThat(late.isSettled()).isFalse();
-        late.take(record(9, new LogEntry.RevisionIndex(8, List.of(new LogEntry.Revision(PALIVO, 7)))));
+        late.apply(record(9, new LogEntry.RevisionIndex(8, List.of(new LogEntry.Revision(PALIVO, 7)))));
         assertThat(late.isSettled()).isTrue();
         assertThat(late.document(PALIVO).flatMap(DocumentRevision::text)).hasValue("new");
     }
@@ -94,13 +94,13 @@
                 record(2, edit(1, "two")),
                 record(3, edit(1, "void")),
                 record(4, edit(2, "4")));
-        log.subList(0, 3).forEach(ledger::take);
+        log.subList(0, 3).forEach(ledger::apply);
         ConfigurationLedger started = new ConfigurationLedger();
-        ledger.snapshot().forEach(started::take);
+        ledger.snapshot().forEach(started::apply);
         assertThat(started.document(PALIVO).flatMap(DocumentRevision::text)).hasValue("two");
-        log.subList(0, 3).forEach(started::take);
+        log.subList(0, 3).forEach(started::apply);
         assertThat(started.revision(PALIVO)).isEqualTo(2);
-        log.subList(3, 4).forEach(started::take);
+        log.subList(3, 4).forEach(started::apply);
         assertThat(started.revision(PALIVO)).isEqualTo(4);
         assertThat(started.isSettled()).isTrue();
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationUpkeepTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationUpkeepTest.java
@@ -97,7 +97,7 @@
         Entry one = new Entry();
         Entry other = new Entry();
         entries.addAll(List.of(one, other));
-        companion.ledger.snapshot().forEach(one.ledger::take);
+        companion.ledger.snapshot().forEach(one.ledger::apply);
         pass(3 * HOUR);
         for (Entry each : entries) {
             assertThat(each.ledger.isSettled()).isTrue();
@@ -137,7 +137,7 @@
             }
             for (next = Math.max(next, first); next <= log.end(); next++) {
                 LogRecord record = log.record(next);
-                ledger.take(record);
+                ledger.apply(record);
             }
             upkeep.tick(ledger, now, entry -> append(List.of(entry)));
         }
