--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationLedger.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationLedger.java
@@ -38,7 +38,7 @@
 
     private final Map<ServiceName, DocumentRevision> documents = new HashMap<>();
     private final Map<LogEntry.Revision, String> undecidedTexts = new HashMap<>();
-    private long readTo;
+    private long lastOffset;
     private long indexes;
     private boolean settled = true;
 
@@ -50,17 +50,17 @@
      */
     public List<EditDecision> apply(LogRecord record) {
         List<EditDecision> decisions = new ArrayList<>();
-        if (record.offset() <= readTo) {
+        if (record.offset() <= lastOffset) {
             // A late copy must not be judged again, against a newer state. What its refreshes say stays true.
             takeLateTexts(record.batch());
             return decisions;
         }
-        if (record.offset() != readTo + 1) {
+        if (record.offset() != lastOffset + 1) {
             // Retention dropped records that this reader never saw. An edit in the gap may have been accepted, so that
             // deciding a later one by our revision could accept what all others hold void: wait for an index.
             settled = false;
         }
-        readTo = record.offset();
+        lastOffset = record.offset();
         for (LogEntry entry : record.batch().entries()) {
             if (entry instanceof LogEntry.DocumentEdit edit) {
                 decisions.add(decide(edit, record));
@@ -92,11 +92,11 @@
     }
 
     /** Returns the offset of the last record taken; 0 before the first. */
-    public long readTo() {
-        return readTo;
+    public long lastOffset() {
+        return lastOffset;
     }
 
-    /** Returns whether the state is exactly the log's at {@link #readTo()}, so that edits can be decided. */
+    /** Returns whether the state is exactly the log's at {@link #lastOffset()}, so that edits can be decided. */
     public boolean isSettled() {
         return settled;
     }
@@ -108,7 +108,7 @@
 
     /** Returns the index to append next; it holds only if nothing comes before it. */
     public LogEntry.RevisionIndex index() {
-        return indexAfter(readTo);
+        return indexAfter(lastOffset);
     }
 
     /**
@@ -117,11 +117,11 @@
      */
     public List<LogRecord> snapshot() {
         List<LogRecord> records = new ArrayList<>();
-        if (readTo == 0) {
+        if (lastOffset == 0) {
             return records;
         }
         if (settled) {
-            records.add(madeUp(indexAfter(readTo - 1)));
+            records.add(madeUp(indexAfter(lastOffset - 1)));
         }
         for (DocumentRevision each : documents()) {
             each.text()
@@ -132,7 +132,7 @@
     }
 
     private LogRecord madeUp(LogEntry entry) {
-        return new LogRecord(readTo, new LogBatch(NO_WRITER, 0, List.of(entry)));
+        return new LogRecord(lastOffset, new LogBatch(NO_WRITER, 0, List.of(entry)));
     }
 
     private LogEntry.RevisionIndex indexAfter(long previousOffset) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationRefresher.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationRefresher.java
@@ -49,7 +49,7 @@
             return;
         }
         unsettledMicros = NOT_DRAWN;
-        if (ledger.readTo() == 0) {
+        if (ledger.lastOffset() == 0) {
             return;
         }
         if (ledger.indexes() != indexesSeen) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
@@ -46,7 +46,7 @@
      * knows nothing, and its peer may.
      */
     public Optional<Frame> requestOnLinkOpened(long nowMicros) {
-        return needsPeers() && ledger.readTo() == 0 ? ask(nowMicros) : Optional.empty();
+        return needsPeers() && ledger.lastOffset() == 0 ? ask(nowMicros) : Optional.empty();
     }
 
     /**
@@ -70,7 +70,7 @@
      */
     public List<Frame> answer(Frame.ConfigurationRequest request) {
         List<Frame> frames = new ArrayList<>();
-        if (ledger.readTo() < request.fromOffset()) {
+        if (ledger.lastOffset() < request.fromOffset()) {
             return frames;
         }
         for (LogRecord record : ledger.snapshot()) {
@@ -81,6 +81,6 @@
 
     private Optional<Frame> ask(long nowMicros) {
         nextAskMicros = nowMicros + ASK_MICROS;
-        return Optional.of(new Frame.ConfigurationRequest(ledger.readTo()));
+        return Optional.of(new Frame.ConfigurationRequest(ledger.lastOffset()));
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Publisher.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Publisher.java
@@ -124,7 +124,7 @@
     /** Returns a refusal if another revision than the base is known to be in force. */
     private Optional<Refusal> conflict(ServiceName service, long baseRevision) {
         long revision = configuration.ledger().revision(service);
-        boolean known = baseRevision <= configuration.ledger().readTo();
+        boolean known = baseRevision <= configuration.ledger().lastOffset();
         return known && baseRevision != revision && configuration.ledger().isSettled()
                 ? Optional.of(conflictAt(service))
                 : Optional.empty();
@@ -139,7 +139,7 @@
     private Optional<Refusal> behind(OperatorCall.Publish call) {
         // Failure: an edit from a revision that this entry hasn't read yet is appended before it and read back as void,
         // and a copy of it, sent again since the answer was lost, lands behind that revision and holds after all.
-        boolean baseRead = call.baseRevision() <= configuration.ledger().readTo();
+        boolean baseRead = call.baseRevision() <= configuration.ledger().lastOffset();
         return configuration.followsLog() && baseRead
                 ? Optional.empty()
                 : Optional.of(new Refusal(
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationLedgerPropertyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationLedgerPropertyTest.java
@@ -82,7 +82,7 @@
                 takePeer(random, ledger);
                 compare(ledger, highest);
             }
-            offset = (int) ledger.readTo() + 1;
+            offset = (int) ledger.lastOffset() + 1;
         }
     }
 
@@ -111,7 +111,7 @@
             each.text().ifPresent(text -> assertThat(text).isEqualTo(naive.text(each.revision())));
         }
         if (ledger.isSettled()) {
-            assertThat(revisions).as("at %d", ledger.readTo()).isEqualTo(naive.revisionsAt(ledger.readTo()));
+            assertThat(revisions).as("at %d", ledger.lastOffset()).isEqualTo(naive.revisionsAt(ledger.lastOffset()));
         }
     }
 }
