--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationLedger.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationLedger.java
@@ -97,7 +97,7 @@
     }
 
     /** Returns whether the state is exactly the log's at {@link #lastOffset()}, so that edits can be decided. */
-    public boolean isSettled() {
+    public boolean isComplete() {
         return settled;
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationRefresher.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationRefresher.java
@@ -44,7 +44,7 @@
      * @param append takes each entry
      */
     public void tick(ConfigurationLedger ledger, long nowMicros, Consumer<LogEntry> append) {
-        if (!ledger.isSettled()) {
+        if (!ledger.isComplete()) {
             recover(ledger, nowMicros, append);
             return;
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
@@ -38,7 +38,7 @@
 
     /** Returns whether the log alone doesn't tell this process what is in force. */
     public boolean needsPeers() {
-        return !logReadable || !ledger.isSettled();
+        return !logReadable || !ledger.isComplete();
     }
 
     /**
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Publisher.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Publisher.java
@@ -125,7 +125,7 @@
     private Optional<Refusal> conflict(ServiceName service, long baseRevision) {
         long revision = configuration.ledger().revision(service);
         boolean known = baseRevision <= configuration.ledger().lastOffset();
-        return known && baseRevision != revision && configuration.ledger().isSettled()
+        return known && baseRevision != revision && configuration.ledger().isComplete()
                 ? Optional.of(conflictAt(service))
                 : Optional.empty();
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationLedgerPropertyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationLedgerPropertyTest.java
@@ -110,7 +110,7 @@
             highest.put(service, each.revision());
             each.text().ifPresent(text -> assertThat(text).isEqualTo(naive.text(each.revision())));
         }
-        if (ledger.isSettled()) {
+        if (ledger.isComplete()) {
             assertThat(revisions).as("at %d", ledger.lastOffset()).isEqualTo(naive.revisionsAt(ledger.lastOffset()));
         }
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationLedgerTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationLedgerTest.java
@@ -64,10 +64,10 @@
                 record(6, refresh(2, "new")));
         log.forEach(ledger::apply);
         log.subList(2, 4).forEach(late::apply);
-        assertThat(late.isSettled()).isFalse();
+        assertThat(late.isComplete()).isFalse();
         assertThat(late.revision(PALIVO)).isEqualTo(1);
         log.subList(4, 6).forEach(late::apply);
-        assertThat(late.isSettled()).isTrue();
+        assertThat(late.isComplete()).isTrue();
         assertThat(late.documents()).extracting(DocumentRevision::revision).containsExactly(ledger.revision(PALIVO));
         assertThat(late.document(PALIVO).flatMap(DocumentRevision::text)).hasValue("new");
     }
@@ -79,9 +79,9 @@
         ConfigurationLedger late = new ConfigurationLedger();
         late.apply(record(7, edit(3, "new")));
         late.apply(record(8, new LogEntry.RevisionIndex(6, List.of(new LogEntry.Revision(PALIVO, 3)))));
-        assertThat(late.isSettled()).isFalse();
+        assertThat(late.isComplete()).isFalse();
         late.apply(record(9, new LogEntry.RevisionIndex(8, List.of(new LogEntry.Revision(PALIVO, 7)))));
-        assertThat(late.isSettled()).isTrue();
+        assertThat(late.isComplete()).isTrue();
         assertThat(late.document(PALIVO).flatMap(DocumentRevision::text)).hasValue("new");
     }
 
@@ -102,7 +102,7 @@
         assertThat(started.revision(PALIVO)).isEqualTo(2);
         log.subList(3, 4).forEach(started::apply);
         assertThat(started.revision(PALIVO)).isEqualTo(4);
-        assertThat(started.isSettled()).isTrue();
+        assertThat(started.isComplete()).isTrue();
     }
 
     private static LogEntry edit(long base, String text) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationUpkeepTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationUpkeepTest.java
@@ -74,7 +74,7 @@
         entries.add(new Entry());
         pass(2 * MINUTE);
         for (Entry each : entries) {
-            assertThat(each.ledger.isSettled()).isTrue();
+            assertThat(each.ledger.isComplete()).isTrue();
             for (ServiceName service : services) {
                 DocumentRevision document = each.ledger.document(service).orElseThrow();
                 assertThat(document.revision()).isEqualTo(log.revisionAt(log.end(), service));
@@ -100,7 +100,7 @@
         companion.ledger.snapshot().forEach(one.ledger::apply);
         pass(3 * HOUR);
         for (Entry each : entries) {
-            assertThat(each.ledger.isSettled()).isTrue();
+            assertThat(each.ledger.isComplete()).isTrue();
             assertThat(each.ledger.revision(service)).isEqualTo(1);
         }
     }
