--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/ContextPrompt.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/ContextPrompt.java
@@ -40,6 +40,6 @@
      * under a name that two of them share.
      */
     public List<Digest> blocks() {
-        return shape.blocks(root());
+        return shape.blockDigests(root());
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/call/PromptShape.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/call/PromptShape.java
@@ -23,7 +23,7 @@
      * Returns the names of the prompt's blocks under a root: each names its piece and all before it, so that two
      * prompts share a name exactly where they share the whole text up to there.
      */
-    public List<Digest> blocks(Digest root) {
+    public List<Digest> blockDigests(Digest root) {
         List<Digest> names = new ArrayList<>(pieces.size());
         Digest parent = root;
         for (Digest piece : pieces) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Trace.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Trace.java
@@ -38,7 +38,7 @@
         }
         PromptShape text = new PromptShape(blocks * Shape.PIECE_TOKENS + random.nextInt(Shape.PIECE_TOKENS), pieces);
         Digest root = Digest.of("customer-" + customer, "service", "v1");
-        List<Digest> names = text.blocks(root);
+        List<Digest> names = text.blockDigests(root);
         int target = Math.floorMod(names.get(names.size() - 1).second(), shape.targets());
         boolean once = random.nextDouble() < shape.onceShare();
         double logRange = Math.log((double) shape.mostGapSeconds() / shape.leastGapSeconds());
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/call/PromptShapeTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/call/PromptShapeTest.java
@@ -15,8 +15,8 @@
     void twoPromptsShareBlockNamesExactlyAsFarAsTheyShareText(
             @ForAll @IntRange(max = 6) int shared, @ForAll @IntRange(min = 1, max = 4) int own) {
         Digest root = Digest.of("depot", "palivo-llm", "v1");
-        List<Digest> left = shape(shared, own, "left").blocks(root);
-        List<Digest> right = shape(shared, own, "right").blocks(root);
+        List<Digest> left = shape(shared, own, "left").blockDigests(root);
+        List<Digest> right = shape(shared, own, "right").blockDigests(root);
 
         assertThat(left.subList(0, shared)).isEqualTo(right.subList(0, shared));
         assertThat(left.subList(shared, left.size())).doesNotContainAnyElementsOf(right);
@@ -30,8 +30,8 @@
     void sameTextOfTwoCustomersSharesNoName() {
         PromptShape shape = shape(3, 0, "");
 
-        assertThat(shape.blocks(Digest.of("sever", "palivo-llm", "v1")))
-                .doesNotContainAnyElementsOf(shape.blocks(Digest.of("juh", "palivo-llm", "v1")));
+        assertThat(shape.blockDigests(Digest.of("sever", "palivo-llm", "v1")))
+                .doesNotContainAnyElementsOf(shape.blockDigests(Digest.of("juh", "palivo-llm", "v1")));
     }
 
     private static PromptShape shape(int shared, int own, String owner) {
