--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
@@ -138,7 +138,7 @@
         if (!links.hear(link, turn.nowMicros())) {
             return;
         }
-        if (frame instanceof Frame.OfAttempt ofAttempt
+        if (frame instanceof Frame.AttemptFrame ofAttempt
                 && links.belongsTo(link, ofAttempt.attempt().entryIncarnation())) {
             intake.take(link, ofAttempt, turn);
         } else if (documents.hear(link, frame, turn)) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Intake.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Intake.java
@@ -44,7 +44,7 @@
     }
 
     /** Takes a frame that came on a link of the attempt's own entry. */
-    void take(long link, Frame.OfAttempt frame, Turn turn) {
+    void take(long link, Frame.AttemptFrame frame, Turn turn) {
         if (frame instanceof Frame.Dispatch dispatch) {
             dispatch(link, dispatch, turn);
         } else if (frame instanceof Frame.Cancel cancel) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/AnswerRelay.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/AnswerRelay.java
@@ -27,11 +27,11 @@
     }
 
     /** Takes a frame of an attempt; dropped unless it belongs to the present attempt of a request. */
-    void take(Address companion, Frame.OfAttempt frame, long nowMicros) {
+    void take(Address companion, Frame.AttemptFrame frame, long nowMicros) {
         requests.byAttempt(frame.attempt(), companion).ifPresent(inFlight -> take(inFlight, frame, nowMicros));
     }
 
-    private void take(InFlight inFlight, Frame.OfAttempt frame, long nowMicros) {
+    private void take(InFlight inFlight, Frame.AttemptFrame frame, long nowMicros) {
         if (frame instanceof Frame.AnswerChunk chunk) {
             takeChunk(inFlight, chunk, nowMicros);
         } else if (frame instanceof Frame.Accepted) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
@@ -204,7 +204,7 @@
         if (!membership.heard(companion, nowMicros)) {
             return;
         }
-        if (frame instanceof Frame.OfAttempt ofAttempt) {
+        if (frame instanceof Frame.AttemptFrame ofAttempt) {
             answers.take(companion, ofAttempt, nowMicros);
         } else if (frame instanceof Frame.Heartbeat heartbeat) {
             membership.heartbeat(companion, heartbeat, nowMicros);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/frame/Frame.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/frame/Frame.java
@@ -19,7 +19,7 @@
 public sealed interface Frame {
 
     /** A frame that belongs to one attempt. */
-    sealed interface OfAttempt extends Frame {
+    sealed interface AttemptFrame extends Frame {
         /** Returns the attempt that it belongs to. */
         AttemptId attempt();
     }
@@ -102,14 +102,14 @@
             boolean idempotent,
             Call call,
             PromptShape prompt)
-            implements OfAttempt {}
+            implements AttemptFrame {}
 
     /**
      * Entry to companion: the caller is gone or another attempt took over; stop it.
      *
      * @param attempt the attempt
      */
-    record Cancel(AttemptId attempt) implements OfAttempt {}
+    record Cancel(AttemptId attempt) implements AttemptFrame {}
 
     /**
      * Entry to companion: send the answer from this chunk on again, its head first. The window begins anew: as many
@@ -120,7 +120,7 @@
      * @param companionIncarnation who ran it
      * @param nextChunk the number of the first chunk that hasn't arrived
      */
-    record Resume(AttemptId attempt, long companionIncarnation, long nextChunk) implements OfAttempt {}
+    record Resume(AttemptId attempt, long companionIncarnation, long nextChunk) implements AttemptFrame {}
 
     /**
      * Entry to companion: the caller took this many chunks, so as many more may be sent. An attempt starts with a
@@ -129,14 +129,14 @@
      * @param attempt the attempt
      * @param chunks the number of chunks
      */
-    record Credit(AttemptId attempt, int chunks) implements OfAttempt {}
+    record Credit(AttemptId attempt, int chunks) implements AttemptFrame {}
 
     /**
      * Companion to entry: the attempt waits or runs.
      *
      * @param attempt the attempt
      */
-    record Accepted(AttemptId attempt) implements OfAttempt {}
+    record Accepted(AttemptId attempt) implements AttemptFrame {}
 
     /**
      * Companion to entry: the attempt has not run here and never will.
@@ -145,7 +145,7 @@
      * @param refusal why, and when to come back
      * @param waitMicros the target's present queue wait
      */
-    record NotRun(AttemptId attempt, Refusal refusal, long waitMicros) implements OfAttempt {}
+    record NotRun(AttemptId attempt, Refusal refusal, long waitMicros) implements AttemptFrame {}
 
     /**
      * Companion to entry: status and headers of the answer.
@@ -154,7 +154,7 @@
      * @param status the HTTP status
      * @param headers the headers to pass on
      */
-    record AnswerHead(AttemptId attempt, int status, List<Header> headers) implements OfAttempt {
+    record AnswerHead(AttemptId attempt, int status, List<Header> headers) implements AttemptFrame {
         /** Copies the headers. */
         public AnswerHead {
             headers = List.copyOf(headers);
@@ -168,7 +168,7 @@
      * @param number counts up from 0
      * @param bytes the part; shared, never written to
      */
-    record AnswerChunk(AttemptId attempt, long number, byte[] bytes) implements OfAttempt {}
+    record AnswerChunk(AttemptId attempt, long number, byte[] bytes) implements AttemptFrame {}
 
     /**
      * Companion to entry: the answer is whole.
@@ -177,7 +177,7 @@
      * @param chunks how many chunks it has
      * @param usage what it cost
      */
-    record AnswerEnd(AttemptId attempt, long chunks, Usage usage) implements OfAttempt {}
+    record AnswerEnd(AttemptId attempt, long chunks, Usage usage) implements AttemptFrame {}
 
     /**
      * Companion to entry: no whole answer will come, and the attempt may have run.
@@ -185,7 +185,7 @@
      * @param attempt the attempt
      * @param refusal why
      */
-    record AnswerFailed(AttemptId attempt, Refusal refusal) implements OfAttempt {}
+    record AnswerFailed(AttemptId attempt, Refusal refusal) implements AttemptFrame {}
 
     /**
      * Either way: send the configuration records that you hold, since the log can't be read.
--- a/rattanrudder-wire/src/main/java/org/rattanrudder/wire/frame/FrameWriter.java
+++ b/rattanrudder-wire/src/main/java/org/rattanrudder/wire/frame/FrameWriter.java
@@ -46,7 +46,7 @@
 
     static FrameMessage message(Frame frame) {
         FrameMessage.Builder message = FrameMessage.newBuilder();
-        if (frame instanceof Frame.OfAttempt ofAttempt) {
+        if (frame instanceof Frame.AttemptFrame ofAttempt) {
             writeOfAttempt(message, ofAttempt);
         } else if (frame instanceof Frame.Hello hello) {
             message.setHello(HelloMessage.newBuilder()
@@ -69,7 +69,7 @@
         return message.build();
     }
 
-    private static void writeOfAttempt(FrameMessage.Builder message, Frame.OfAttempt frame) {
+    private static void writeOfAttempt(FrameMessage.Builder message, Frame.AttemptFrame frame) {
         AttemptMessage attempt = attempt(frame.attempt());
         if (frame instanceof Frame.AnswerChunk chunk) {
             message.setAnswerChunk(AnswerChunkMessage.newBuilder()
@@ -94,7 +94,7 @@
         }
     }
 
-    private static void writeAnswer(FrameMessage.Builder message, AttemptMessage attempt, Frame.OfAttempt frame) {
+    private static void writeAnswer(FrameMessage.Builder message, AttemptMessage attempt, Frame.AttemptFrame frame) {
         if (frame instanceof Frame.NotRun notRun) {
             message.setNotRun(NotRunMessage.newBuilder()
                     .setAttempt(attempt)
--- a/rattanrudder-wire/src/test/java/org/rattanrudder/wire/link/LinkServerTest.java
+++ b/rattanrudder-wire/src/test/java/org/rattanrudder/wire/link/LinkServerTest.java
@@ -158,7 +158,7 @@
 
         @Override
         public void arrived(Link from, Frame frame) {
-            long sequence = ((Frame.OfAttempt) frame).attempt().sequence();
+            long sequence = ((Frame.AttemptFrame) frame).attempt().sequence();
             events.add(frame.getClass().getSimpleName() + " " + sequence);
         }
 
