--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/Machine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/StateMachine.java
@@ -17,7 +17,7 @@
  * @param <F> the effects it asks for
  */
 @FunctionalInterface
-public interface Machine<V, F> {
+public interface StateMachine<V, F> {
     /**
      * Takes one event and passes on the effects that it calls for, in the order in which they are to be carried out.
      *
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import org.rattanrudder.core.Machine;
+import org.rattanrudder.core.StateMachine;
 import org.rattanrudder.core.admission.RetryAfterPolicy;
 import org.rattanrudder.core.claims.ClaimSettings;
 import org.rattanrudder.core.document.DocumentReader;
@@ -19,7 +19,7 @@
  * its context fetched ({@link ContextMover}), called, ended. Until it is called it can be refused as not run, and a
  * tombstone keeps that true; afterwards it ends with a whole answer or as unknown.
  */
-public final class CompanionMachine implements Machine<CompanionEvent, CompanionEffect> {
+public final class CompanionMachine implements StateMachine<CompanionEvent, CompanionEffect> {
     private final PauseWatch pauses = new PauseWatch();
     private final Links links = new Links();
     private final Attempts attempts = new Attempts();
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import org.rattanrudder.core.Machine;
+import org.rattanrudder.core.StateMachine;
 import org.rattanrudder.core.document.DocumentReader;
 import org.rattanrudder.core.document.ServiceDocument;
 import org.rattanrudder.core.frame.Frame;
@@ -27,7 +27,7 @@
  * entry.handle(new EntryEvent.RequestArrived(1, request), clock.nowMicros(), effects::add);
  * }</pre>
  */
-public final class EntryMachine implements Machine<EntryEvent, EntryEffect> {
+public final class EntryMachine implements StateMachine<EntryEvent, EntryEffect> {
     /**
      * How long requests are still taken after the process was asked to stop, in microseconds: the platform's balancer
      * needs that long to see that the entry leaves, and what it sends until then is to be served.
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import org.jboss.logging.Logger;
-import org.rattanrudder.core.Machine;
+import org.rattanrudder.core.StateMachine;
 import org.rattanrudder.core.companion.CompanionEffect;
 import org.rattanrudder.core.companion.CompanionEvent;
 import org.rattanrudder.core.companion.CompanionMachine;
@@ -98,7 +98,7 @@
         }
     }
 
-    private Machine<CompanionEvent, CompanionEffect> counting(CompanionMachine machine) {
+    private StateMachine<CompanionEvent, CompanionEffect> counting(CompanionMachine machine) {
         return (event, nowMicros, effects) -> {
             metrics.count(event);
             machine.handle(event, nowMicros, effects);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/MachineLoop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/MachineLoop.java
@@ -15,7 +15,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.jboss.logging.Logger;
-import org.rattanrudder.core.Machine;
+import org.rattanrudder.core.StateMachine;
 
 /**
  * The ring of a process: I/O threads publish events, one handler thread gives them to the machine and carries out the
@@ -40,7 +40,7 @@
     private static final long CLOSE_SECONDS = 2;
     private static final BooleanSupplier ALWAYS = () -> true;
 
-    private final Machine<V, F> machine;
+    private final StateMachine<V, F> machine;
     private final LongSupplier clock;
     private final Disruptor<Slot<V>> disruptor;
     private final RingBuffer<Slot<V>> ring;
@@ -55,7 +55,7 @@
      * @param clock the machine's time in microseconds
      * @param ringSize how many events may wait, a power of two
      */
-    public MachineLoop(Machine<V, F> machine, LongSupplier clock, int ringSize) {
+    public MachineLoop(StateMachine<V, F> machine, LongSupplier clock, int ringSize) {
         this.machine = machine;
         this.clock = clock;
         // A blocking wait costs a wake-up for an event that finds the handler idle, but no processor time while idle;
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/loop/MachineLoopTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/loop/MachineLoopTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 import org.junit.jupiter.api.Test;
-import org.rattanrudder.core.Machine;
+import org.rattanrudder.core.StateMachine;
 
 class MachineLoopTest {
     private static final int SECONDS = 10;
@@ -19,7 +19,7 @@
         return carriedOut.poll(SECONDS, TimeUnit.SECONDS);
     }
 
-    private static MachineLoop<String, String> loop(Machine<String, String> machine, int ringSize) {
+    private static MachineLoop<String, String> loop(StateMachine<String, String> machine, int ringSize) {
         return new MachineLoop<>(machine, new MonotonicClock(), ringSize);
     }
 
@@ -70,7 +70,7 @@
      */
     @Test
     void eventThatFailsDoesNotEndTheLoop() throws Exception {
-        Machine<String, String> machine = (event, now, effects) -> {
+        StateMachine<String, String> machine = (event, now, effects) -> {
             if (event.isEmpty()) {
                 throw new IllegalStateException("seen in the test's log");
             }
