--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/AnswerSink.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/AnswerSink.java
@@ -2,12 +2,12 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
-import org.rattanrudder.daemon.relay.port.AnswerFacts;
+import org.rattanrudder.daemon.relay.port.ResponseMetadata;
 
 /** Takes a target's answer to one request. After {@code complete} or {@code broken} nothing more comes. */
 interface AnswerSink {
     /** Takes the head. */
-    void head(HttpResponse response, AnswerFacts facts);
+    void head(HttpResponse response, ResponseMetadata facts);
 
     /** Takes a piece of the body; the sink doesn't own it. */
     void content(ByteBuf piece);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -23,7 +23,7 @@
 import org.rattanrudder.core.gateway.ResponseClassifier;
 import org.rattanrudder.core.gateway.RetryPolicy;
 import org.rattanrudder.core.model.ErrorKind;
-import org.rattanrudder.daemon.relay.port.AnswerFacts;
+import org.rattanrudder.daemon.relay.port.ResponseMetadata;
 
 /**
  * One request from its admission to its end: it picks a target, sends the request, passes the answer on, and goes to
@@ -232,7 +232,7 @@
     }
 
     @Override
-    public void head(HttpResponse response, AnswerFacts facts) {
+    public void head(HttpResponse response, ResponseMetadata facts) {
         Target target = attempt.target();
         facts.load().ifPresent(told -> {
             load = told.running() + "/" + told.waiting();
@@ -266,7 +266,7 @@
         failed(outcome, reason);
     }
 
-    private void misdirected(Target target, AnswerFacts facts) {
+    private void misdirected(Target target, ResponseMetadata facts) {
         Optional<String> other = facts.target().filter(id -> !id.equals(target.id()));
         if (other.isPresent()) {
             state.log().warn("target_replaced", "target", target.id(), "found", other.get());
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetConnection.java
@@ -17,8 +17,8 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import java.util.function.Consumer;
-import org.rattanrudder.daemon.relay.port.AnswerFacts;
 import org.rattanrudder.daemon.relay.port.RequestDialect;
+import org.rattanrudder.daemon.relay.port.ResponseMetadata;
 
 /**
  * A connection to a target, for one request at a time.
@@ -141,7 +141,7 @@
             interim = true;
             return;
         }
-        AnswerFacts facts = dialect.read(response);
+        ResponseMetadata facts = dialect.read(response);
         boolean other = facts.requestId().isPresent()
                 ? !requestId.isEmpty() && !facts.requestId().get().equals(requestId)
                 : !facts.notRun();
@@ -230,7 +230,7 @@
         INSTANCE;
 
         @Override
-        public void head(HttpResponse response, AnswerFacts facts) {}
+        public void head(HttpResponse response, ResponseMetadata facts) {}
 
         @Override
         public void content(ByteBuf piece) {}
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RequestDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RequestDialect.java
@@ -18,7 +18,7 @@
     HttpHeaders forTarget(HttpHeaders fromCaller, Forwarding forwarding);
 
     /** Reads the head of a target's answer. */
-    AnswerFacts read(HttpResponse answer);
+    ResponseMetadata read(HttpResponse answer);
 
     /** Returns the headers of an answer as the caller gets them, without those that frame its body. */
     HttpHeaders forCaller(HttpHeaders fromTarget);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/AnswerFacts.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/ResponseMetadata.java
@@ -16,7 +16,7 @@
  * @param weights the version of weights that it ran on, if it says so
  * @param keepAliveMillis how long the target keeps the connection open when idle, if it says so
  */
-public record AnswerFacts(
+public record ResponseMetadata(
         int status,
         Optional<String> requestId,
         boolean signed,
