--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -235,8 +235,8 @@
     public void head(HttpResponse response, ResponseMetadata facts) {
         Target target = attempt.target();
         facts.load().ifPresent(told -> {
-            load = told.running() + "/" + told.waiting();
-            target.updateReportedLoad(told.running(), told.waiting(), state.now());
+            load = told.running() + "/" + told.queued();
+            target.updateReportedLoad(told.running(), told.queued(), state.now());
         });
         plan.facts()
                 .model()
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/ResponseMetadata.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/ResponseMetadata.java
@@ -30,9 +30,9 @@
      * The load of a target.
      *
      * @param running requests that it works on
-     * @param waiting requests in its queue
+     * @param queued requests in its queue
      */
-    public record Load(int running, int waiting) {}
+    public record Load(int running, int queued) {}
 
     /** Returns whether it says that the request succeeded. */
     public boolean isSuccess() {
