--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -19,7 +19,7 @@
 import org.rattanrudder.core.parts.PartPlan;
 import org.rattanrudder.core.quarantine.RequestFingerprint;
 import org.rattanrudder.core.routing.Hashing;
-import org.rattanrudder.daemon.relay.port.Forwarding;
+import org.rattanrudder.daemon.relay.port.ForwardingMetadata;
 
 /** What holds for a request from its admission to its end, and what it needs of a target. */
 final class RequestPlan {
@@ -78,7 +78,7 @@
      * @param forwarding what the target is told beside it
      * @param work the work that it is there
      */
-    record Outgoing(Forwarding forwarding, Target.RequestCost work) {
+    record Outgoing(ForwardingMetadata forwarding, Target.RequestCost work) {
         /** Returns how long a healthy engine needs to the first byte if its fetches take no time, in ms. */
         double millisWithoutFetch() {
             return ENGINE_BASE_MILLIS + work.prefillTokens() / TOKENS_PER_MILLI;
@@ -195,7 +195,7 @@
         if (engine.isPresent()) {
             noteParts(target, salt, parts);
         }
-        Forwarding forwarding = new Forwarding(
+        ForwardingMetadata forwarding = new ForwardingMetadata(
                 Math.max(1, left()),
                 target.id(),
                 customer.map(CustomerIdentity::name),
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/Forwarding.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/ForwardingMetadata.java
@@ -17,7 +17,7 @@
  * @param lastEventId the event after which the stream goes on; empty from the start
  * @param priority its rank at the engine, 0 first; empty for the usual one
  */
-public record Forwarding(
+public record ForwardingMetadata(
         long leftMillis,
         String target,
         Optional<String> customer,
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RequestDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RequestDialect.java
@@ -15,7 +15,7 @@
     RequestMetadata read(HttpRequest request);
 
     /** Returns the headers of a request as a target gets them, without those that frame its body. */
-    HttpHeaders forTarget(HttpHeaders fromCaller, Forwarding forwarding);
+    HttpHeaders forTarget(HttpHeaders fromCaller, ForwardingMetadata forwarding);
 
     /** Reads the head of a target's answer. */
     ResponseMetadata read(HttpResponse answer);
