--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/ForwardingMetadata.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/ForwardingMetadata.java
@@ -8,7 +8,7 @@
 /**
  * What a relay tells a target beside the request itself.
  *
- * @param leftMillis how long the target may work on it
+ * @param remainingMillis how long the target may work on it
  * @param target the incarnation that is meant
  * @param customer the customer's name; empty if the route asks for no credential
  * @param weights the version of weights that it must begin on; empty for plain services
@@ -18,7 +18,7 @@
  * @param priority its rank at the engine, 0 first; empty for the usual one
  */
 public record ForwardingMetadata(
-        long leftMillis,
+        long remainingMillis,
         String target,
         Optional<String> customer,
         OptionalLong weights,
