--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -268,7 +268,7 @@
                 // It may load at any time or never; until then it serves.
                 plan.onUnanswered(target.id());
                 target.markLoadingWeights(state.now());
-            } else if (!state.platform().engines().orderTaken(status)) {
+            } else if (!state.platform().engines().isOrderAccepted(status)) {
                 plan.onRefused(target.id());
                 target.markLoadingWeights(state.now());
             }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
@@ -38,7 +38,7 @@
     PlatformCall order(LoadOrder order);
 
     /** Returns whether an order was taken or holds already. */
-    boolean orderTaken(int status);
+    boolean isOrderAccepted(int status);
 
     /** Returns the call that waits for changes of what a context store holds. */
     PlatformCall changes(long since, long waitMillis);
