--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
@@ -63,7 +63,7 @@
         }
         long asked = state.now();
         long wait = behind ? CATCH_UP_MILLIS : WAIT_MILLIS;
-        line.call(dialect.changes(since, wait), TIMEOUT_MILLIS, answer -> {
+        line.call(dialect.pollChanges(since, wait), TIMEOUT_MILLIS, answer -> {
             Optional<StoreUpdate> news = read(answer, true);
             if (news.isEmpty()) {
                 lost(answer);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
@@ -41,7 +41,7 @@
     boolean isOrderAccepted(int status);
 
     /** Returns the call that waits for changes of what a context store holds. */
-    PlatformCall changes(long since, long waitMillis);
+    PlatformCall pollChanges(long since, long waitMillis);
 
     /** Reads the answer; empty if it is none. */
     Optional<StoreUpdate> readChanges(int status, byte[] body);
