--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
@@ -124,7 +124,7 @@
     private void list() {
         long asked = state.now();
         listedAt = asked;
-        line.call(dialect.contents(), TIMEOUT_MILLIS, answer -> {
+        line.call(dialect.listContents(), TIMEOUT_MILLIS, answer -> {
             read(answer, false).ifPresent(all -> {
                 state.directory().applyStoreUpdate(address, all, asked, state.now());
                 since = all.next();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
@@ -47,7 +47,7 @@
     Optional<StoreUpdate> readChanges(int status, byte[] body);
 
     /** Returns the call for all that a context store holds. */
-    PlatformCall contents();
+    PlatformCall listContents();
 
     /** Reads the answer; empty if it is none. */
     Optional<StoreUpdate> readContents(int status, byte[] body);
