--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
@@ -143,7 +143,7 @@
     /** Frees parts that no request reads any more. */
     void free(List<PartKey> parts, long inIncarnation) {
         CallLine freeing = new CallLine(state.connector(), () -> address);
-        freeing.call(dialect.free(parts, inIncarnation), TIMEOUT_MILLIS, answer -> {
+        freeing.call(dialect.evict(parts, inIncarnation), TIMEOUT_MILLIS, answer -> {
             state.log()
                     .info(
                             "parts_freed",
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
@@ -53,5 +53,5 @@
     Optional<StoreUpdate> readContents(int status, byte[] body);
 
     /** Returns the call that frees parts of a context store in the incarnation that is meant. */
-    PlatformCall free(List<PartKey> parts, long incarnation);
+    PlatformCall evict(List<PartKey> parts, long incarnation);
 }
