--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -242,8 +242,8 @@
     }
 
     private void give(Target target, NamedWeights weights, EngineReport report, CallLine line) {
-        LoadOrder order =
-                new LoadOrder(weights, state.settings().instance(), lease.fencingToken(), report.orders(), target.id());
+        LoadOrder order = new LoadOrder(
+                weights, state.settings().instance(), lease.fencingToken(), report.acceptedOrders(), target.id());
         RolloutPlanner plan = plans.get(target.registration().service() + "/" + weights.model());
         long now = state.now();
         plan.onOrdered(target.id(), weights.version(), now);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
@@ -12,10 +12,10 @@
      *
      * @param weights the versions of the models that it serves
      * @param busy whether an order is being carried out
-     * @param orders how many orders it has taken
+     * @param acceptedOrders how many orders it has taken
      * @param inFlight requests that run or wait
      */
-    record EngineReport(List<NamedWeights> weights, boolean busy, long orders, int inFlight) {}
+    record EngineReport(List<NamedWeights> weights, boolean busy, long acceptedOrders, int inFlight) {}
 
     /**
      * An order to load weights at once; runs go on under them.
