--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -261,7 +261,7 @@
                             "version",
                             Long.toString(weights.version()),
                             "token",
-                            Long.toString(order.token()),
+                            Long.toString(order.fencingToken()),
                             "status",
                             Integer.toString(status));
             if (status == 0) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
@@ -22,11 +22,11 @@
      *
      * @param weights the model and its version
      * @param holder who gives it
-     * @param token its fencing token
+     * @param fencingToken its fencing token
      * @param expectedOrders how many orders the engine must have taken before; anything else voids it
      * @param target the incarnation that is meant
      */
-    record LoadOrder(NamedWeights weights, String holder, long token, long expectedOrders, String target) {}
+    record LoadOrder(NamedWeights weights, String holder, long fencingToken, long expectedOrders, String target) {}
 
     /** Returns the call that asks an engine for its state. */
     PlatformCall report(Optional<String> target);
