--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallAnswer.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallAnswer.java
@@ -1,8 +1,8 @@
 package org.rattanrudder.daemon.relay;
 
 import java.util.Optional;
-import org.rattanrudder.daemon.relay.port.StoreAnswer;
 import org.rattanrudder.daemon.relay.port.StoreDialect;
+import org.rattanrudder.daemon.relay.port.StoreResponse;
 
 /** What came of a call. */
 sealed interface CallAnswer {
@@ -22,14 +22,14 @@
     record Unanswered(String reason) implements CallAnswer {}
 
     /** Returns what an append came to; one without an answer, or with one that can't be read, has failed. */
-    default StoreAnswer ofAppend(StoreDialect store) {
+    default StoreResponse ofAppend(StoreDialect store) {
         if (!(this instanceof Answered answered)) {
-            return new StoreAnswer.Failed(0, Optional.of(((Unanswered) this).reason()));
+            return new StoreResponse.Failed(0, Optional.of(((Unanswered) this).reason()));
         }
         try {
             return store.readAppend(answered.status(), answered.body());
         } catch (IllegalArgumentException malformed) {
-            return new StoreAnswer.Failed(answered.status(), Optional.of(String.valueOf(malformed.getMessage())));
+            return new StoreResponse.Failed(answered.status(), Optional.of(String.valueOf(malformed.getMessage())));
         }
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -18,9 +18,9 @@
 import org.rattanrudder.daemon.relay.port.EngineDialect.LoadOrder;
 import org.rattanrudder.daemon.relay.port.KeyedRecord;
 import org.rattanrudder.daemon.relay.port.NamedWeights;
-import org.rattanrudder.daemon.relay.port.StoreAnswer;
 import org.rattanrudder.daemon.relay.port.StoreDialect;
 import org.rattanrudder.daemon.relay.port.StoreDialect.Topic;
+import org.rattanrudder.daemon.relay.port.StoreResponse;
 
 /**
  * Brings engines to the newest weights, if this relay holds the lease.
@@ -199,8 +199,8 @@
             return;
         }
         state.metrics().storeCall("APPEND");
-        StoreAnswer read = answer.ofAppend(store);
-        if (read instanceof StoreAnswer.Appended appended) {
+        StoreResponse read = answer.ofAppend(store);
+        if (read instanceof StoreResponse.Appended appended) {
             lease.onAppended(appended.offset(), sentAt, sentAtWall);
             state.log()
                     .info(
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
@@ -15,8 +15,8 @@
 import org.rattanrudder.daemon.relay.TopicFollower.Reading;
 import org.rattanrudder.daemon.relay.port.KeyedRecord;
 import org.rattanrudder.daemon.relay.port.QuarantineRecord;
-import org.rattanrudder.daemon.relay.port.StoreAnswer;
 import org.rattanrudder.daemon.relay.port.StoreDialect.Topic;
+import org.rattanrudder.daemon.relay.port.StoreResponse;
 
 /**
  * Shares what is held against requests with the other relays, through the platform's store.
@@ -201,11 +201,11 @@
 
     /** Returns where the records begin; -1 if it isn't known that they were written. */
     private long offset(CallAnswer answer) {
-        StoreAnswer read = answer.ofAppend(state.platform().store());
-        if (read instanceof StoreAnswer.Failed failed && failed.status() == HttpResponseStatus.OK.code()) {
+        StoreResponse read = answer.ofAppend(state.platform().store());
+        if (read instanceof StoreResponse.Failed failed && failed.status() == HttpResponseStatus.OK.code()) {
             state.log().warn("answer_unreadable", "reason", failed.reason().orElse("unknown"));
         }
-        return read instanceof StoreAnswer.Appended appended ? appended.offset() : -1;
+        return read instanceof StoreResponse.Appended appended ? appended.offset() : -1;
     }
 
     /** Returns up to which offset the others should have read. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TopicFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TopicFollower.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 import org.rattanrudder.daemon.relay.port.KeyedRecord;
 import org.rattanrudder.daemon.relay.port.PlatformCall;
-import org.rattanrudder.daemon.relay.port.StoreAnswer;
 import org.rattanrudder.daemon.relay.port.StoreDialect;
 import org.rattanrudder.daemon.relay.port.StoreDialect.Topic;
+import org.rattanrudder.daemon.relay.port.StoreResponse;
 
 /**
  * Follows a topic of the platform's store: first the newest record of each key, then all that is added.
@@ -167,7 +167,7 @@
 
     /** Reads the body of an answer. */
     private interface Reader {
-        StoreAnswer read(int status, byte[] body);
+        StoreResponse read(int status, byte[] body);
     }
 
     private void take(CallAnswer answer, Reader reader) {
@@ -181,14 +181,14 @@
             return;
         }
         CallAnswer.Answered answered = (CallAnswer.Answered) answer;
-        StoreAnswer read;
+        StoreResponse read;
         try {
             read = reader.read(answered.status(), answered.body());
         } catch (IllegalArgumentException malformed) {
             failed("malformed: " + malformed.getMessage());
             return;
         }
-        if (read instanceof StoreAnswer.Failed failed) {
+        if (read instanceof StoreResponse.Failed failed) {
             failed("status " + failed.status());
             return;
         }
@@ -196,10 +196,10 @@
         proceed(read);
     }
 
-    private void proceed(StoreAnswer read) {
-        if (read instanceof StoreAnswer.Listing listing) {
+    private void proceed(StoreResponse read) {
+        if (read instanceof StoreResponse.Listing listing) {
             listing(listing);
-        } else if (read instanceof StoreAnswer.Records records) {
+        } else if (read instanceof StoreResponse.Records records) {
             forgottenInARow = 0;
             from = records.next();
             if (!records.records().isEmpty()) {
@@ -211,7 +211,7 @@
             long gap = gap();
             gapEndsAt = answeredAt + gap;
             timer.next(this::follow, gap);
-        } else if (read instanceof StoreAnswer.Forgotten forgotten) {
+        } else if (read instanceof StoreResponse.Forgotten forgotten) {
             forgotten(forgotten);
         }
     }
@@ -242,7 +242,7 @@
      * Records were dropped before they were read. A store that goes on dropping what it has just listed would be asked
      * without end, fifty times a second by each relay; the time between two listings therefore doubles.
      */
-    private void forgotten(StoreAnswer.Forgotten forgotten) {
+    private void forgotten(StoreResponse.Forgotten forgotten) {
         state.log()
                 .warn(
                         "records_forgotten",
@@ -333,7 +333,7 @@
         timer.next(this::start, 0);
     }
 
-    private void listing(StoreAnswer.Listing listing) {
+    private void listing(StoreResponse.Listing listing) {
         // Pages are no snapshot: what changes meanwhile stands after the first page's end.
         listingEnd = listingEnd < 0 ? listing.end() : Math.min(listingEnd, listing.end());
         String last = "";
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
@@ -62,13 +62,13 @@
     RegisteredRelay readRelay(byte[] value);
 
     /** Reads the answer to a listing. */
-    StoreAnswer readListing(int status, byte[] body);
+    StoreResponse readListing(int status, byte[] body);
 
     /** Reads the answer to a call that follows a topic from an offset. */
-    StoreAnswer readRecords(Topic topic, long from, int status, byte[] body);
+    StoreResponse readRecords(Topic topic, long from, int status, byte[] body);
 
     /** Reads the answer to an append. */
-    StoreAnswer readAppend(int status, byte[] body);
+    StoreResponse readAppend(int status, byte[] body);
 
     /** Reads what operators want; empty if the key isn't used. Throws IllegalArgumentException if unreadable. */
     Optional<Wish> readWish(KeyedRecord record);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreAnswer.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreResponse.java
@@ -5,7 +5,7 @@
 import java.util.OptionalLong;
 
 /** An answer of the platform's store. */
-public sealed interface StoreAnswer {
+public sealed interface StoreResponse {
     /**
      * A page of the newest records of all keys.
      *
@@ -13,7 +13,7 @@
      * @param morePages whether others follow
      * @param end the offset after the topic's last record
      */
-    record Listing(List<KeyedRecord> records, boolean morePages, long end) implements StoreAnswer {}
+    record Listing(List<KeyedRecord> records, boolean morePages, long end) implements StoreResponse {}
 
     /**
      * Records that were read.
@@ -21,24 +21,24 @@
      * @param records in order
      * @param next the offset to read from next
      */
-    record Records(List<KeyedRecord> records, long next) implements StoreAnswer {}
+    record Records(List<KeyedRecord> records, long next) implements StoreResponse {}
 
     /**
      * The records that were asked for are kept no more.
      *
      * @param first the offset of the first record that is kept; empty if the store doesn't say
      */
-    record Forgotten(OptionalLong first) implements StoreAnswer {}
+    record Forgotten(OptionalLong first) implements StoreResponse {}
 
     /**
      * A record was appended.
      *
      * @param offset its place
      */
-    record Appended(long offset) implements StoreAnswer {}
+    record Appended(long offset) implements StoreResponse {}
 
     /** The topic didn't end where it had to; nothing was appended. */
-    record Conflict() implements StoreAnswer {}
+    record Conflict() implements StoreResponse {}
 
     /**
      * The call failed.
@@ -46,5 +46,5 @@
      * @param status the HTTP status
      * @param reason why the answer couldn't be used, if the status doesn't tell
      */
-    record Failed(int status, Optional<String> reason) implements StoreAnswer {}
+    record Failed(int status, Optional<String> reason) implements StoreResponse {}
 }
