--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -36,8 +36,8 @@
 import org.rattanrudder.daemon.relay.port.NamedWeights;
 import org.rattanrudder.daemon.relay.port.PlatformAdapter;
 import org.rattanrudder.daemon.relay.port.StoreDialect;
+import org.rattanrudder.daemon.relay.port.StoreDialect.DesiredState;
 import org.rattanrudder.daemon.relay.port.StoreDialect.Topic;
-import org.rattanrudder.daemon.relay.port.StoreDialect.Wish;
 import org.rattanrudder.document.RelaySettings;
 
 /**
@@ -192,9 +192,9 @@
         public void record(KeyedRecord record) {
             StoreDialect store = state.platform().store();
             store.readWish(record).ifPresent(wish -> {
-                if (wish instanceof Wish.Configured configured) {
+                if (wish instanceof DesiredState.Configured configured) {
                     configured(configured, record.offset());
-                } else if (wish instanceof Wish.Weights weights) {
+                } else if (wish instanceof DesiredState.Weights weights) {
                     named(weights.weights(), record.offset());
                 }
             });
@@ -233,7 +233,7 @@
         }
     }
 
-    private void configured(Wish.Configured configured, long offset) {
+    private void configured(DesiredState.Configured configured, long offset) {
         if (!state.configure(configured.configuration())) {
             return;
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
@@ -24,20 +24,20 @@
     }
 
     /** A record of what operators want. */
-    sealed interface Wish {
+    sealed interface DesiredState {
         /**
          * The newest configuration.
          *
          * @param configuration in full
          */
-        record Configured(ServingConfiguration configuration) implements Wish {}
+        record Configured(ServingConfiguration configuration) implements DesiredState {}
 
         /**
          * A version of weights.
          *
          * @param weights the model and its version
          */
-        record Weights(NamedWeights weights) implements Wish {}
+        record Weights(NamedWeights weights) implements DesiredState {}
     }
 
     /** Returns the call for a page of the newest records; after the given key, or the first page. */
@@ -71,7 +71,7 @@
     StoreResponse readAppend(int status, byte[] body);
 
     /** Reads what operators want; empty if the key isn't used. Throws IllegalArgumentException if unreadable. */
-    Optional<Wish> readWish(KeyedRecord record);
+    Optional<DesiredState> readWish(KeyedRecord record);
 
     /** Reads a target's entry. Throws IllegalArgumentException if unreadable. */
     TargetRegistration readTarget(String id, byte[] value);
