--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -192,7 +192,7 @@
         public void record(KeyedRecord record) {
             StoreDialect store = state.platform().store();
             store.readWish(record).ifPresent(wish -> {
-                if (wish instanceof DesiredState.Configured configured) {
+                if (wish instanceof DesiredState.DesiredConfiguration configured) {
                     configured(configured, record.offset());
                 } else if (wish instanceof DesiredState.Weights weights) {
                     named(weights.weights(), record.offset());
@@ -233,7 +233,7 @@
         }
     }
 
-    private void configured(DesiredState.Configured configured, long offset) {
+    private void configured(DesiredState.DesiredConfiguration configured, long offset) {
         if (!state.configure(configured.configuration())) {
             return;
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
@@ -30,7 +30,7 @@
          *
          * @param configuration in full
          */
-        record Configured(ServingConfiguration configuration) implements DesiredState {}
+        record DesiredConfiguration(ServingConfiguration configuration) implements DesiredState {}
 
         /**
          * A version of weights.
