--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -194,7 +194,7 @@
             store.readWish(record).ifPresent(wish -> {
                 if (wish instanceof DesiredState.DesiredConfiguration configured) {
                     configured(configured, record.offset());
-                } else if (wish instanceof DesiredState.Weights weights) {
+                } else if (wish instanceof DesiredState.DesiredWeights weights) {
                     named(weights.weights(), record.offset());
                 }
             });
