--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -191,7 +191,7 @@
         @Override
         public void record(KeyedRecord record) {
             StoreDialect store = state.platform().store();
-            store.readWish(record).ifPresent(wish -> {
+            store.readDesiredState(record).ifPresent(wish -> {
                 if (wish instanceof DesiredState.DesiredConfiguration configured) {
                     configured(configured, record.offset());
                 } else if (wish instanceof DesiredState.DesiredWeights weights) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
@@ -71,7 +71,7 @@
     StoreResponse readAppend(int status, byte[] body);
 
     /** Reads what operators want; empty if the key isn't used. Throws IllegalArgumentException if unreadable. */
-    Optional<DesiredState> readWish(KeyedRecord record);
+    Optional<DesiredState> readDesiredState(KeyedRecord record);
 
     /** Reads a target's entry. Throws IllegalArgumentException if unreadable. */
     TargetRegistration readTarget(String id, byte[] value);
