--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TopicFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TopicFollower.java
@@ -137,7 +137,7 @@
             listedKeys.clear();
             listingEnd = -1;
         }
-        PlatformCall call = dialect.listing(topic, after);
+        PlatformCall call = dialect.list(topic, after);
         line.call(call, LISTING_MILLIS, answer -> take(answer, (status, body) -> dialect.readListing(status, body)));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns the call for a page of the newest records; after the given key, or the first page. */
-    PlatformCall listing(Topic topic, Optional<String> after);
+    PlatformCall list(Topic topic, Optional<String> after);
 
     /** Returns the call that waits for records from an offset on. */
     PlatformCall follow(Topic topic, long from, long waitMillis);
