--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TopicFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TopicFollower.java
@@ -151,7 +151,7 @@
         calledAt = state.now();
         long wait = waitMillis();
         line.call(
-                dialect.follow(topic, asked, wait),
+                dialect.poll(topic, asked, wait),
                 wait + SLACK_MILLIS,
                 answer -> take(answer, (status, body) -> dialect.readRecords(topic, asked, status, body)));
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
@@ -44,7 +44,7 @@
     PlatformCall list(Topic topic, Optional<String> after);
 
     /** Returns the call that waits for records from an offset on. */
-    PlatformCall follow(Topic topic, long from, long waitMillis);
+    PlatformCall poll(Topic topic, long from, long waitMillis);
 
     /** Returns the call that appends a record; only at the given end if one is given. */
     PlatformCall append(Topic topic, LeaseRecord record, OptionalLong at);
