--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -29,7 +29,7 @@
 import org.rattanrudder.core.parts.StoreLateness;
 import org.rattanrudder.daemon.relay.TopicFollower.Reading;
 import org.rattanrudder.daemon.relay.port.KeyedRecord;
-import org.rattanrudder.daemon.relay.port.RegisteredRelay;
+import org.rattanrudder.daemon.relay.port.RelayRegistration;
 import org.rattanrudder.daemon.relay.port.StoreDialect.Topic;
 import org.rattanrudder.wire.peer.PeerCodec;
 
@@ -133,7 +133,7 @@
 
         @Override
         public void record(KeyedRecord record) {
-            Optional<RegisteredRelay> relay =
+            Optional<RelayRegistration> relay =
                     record.value().map(state.platform().store()::readRelay);
             if (record.key().equals(state.settings().instance())) {
                 registered = relay.filter(ownRegistration()::equals).isPresent();
@@ -153,11 +153,11 @@
         }
     }
 
-    private RegisteredRelay ownRegistration() {
-        return new RegisteredRelay(state.settings().peers(), state.settings().failureDomain());
+    private RelayRegistration ownRegistration() {
+        return new RelayRegistration(state.settings().peers(), state.settings().failureDomain());
     }
 
-    private void know(String relay, RegisteredRelay registered) {
+    private void know(String relay, RelayRegistration registered) {
         Address at = registered.peers();
         InetSocketAddress address = new InetSocketAddress(at.host(), at.port());
         addresses.put(relay, address);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RegisteredRelay.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RelayRegistration.java
@@ -8,4 +8,4 @@
  * @param peers where it hears of other relays
  * @param failureDomain where it stands
  */
-public record RegisteredRelay(Address peers, String failureDomain) {}
+public record RelayRegistration(Address peers, String failureDomain) {}
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
@@ -50,7 +50,7 @@
     PlatformCall append(Topic topic, LeaseRecord record, OptionalLong at);
 
     /** Returns the call that writes where a relay hears of the others. */
-    PlatformCall register(String relay, RegisteredRelay registered);
+    PlatformCall register(String relay, RelayRegistration registered);
 
     /** Returns the call that writes records, all or none. */
     PlatformCall write(List<QuarantineRecord> records);
@@ -59,7 +59,7 @@
     Optional<QuarantineRecord> readQuarantine(KeyedRecord record);
 
     /** Reads where a relay hears of the others. Throws IllegalArgumentException if unreadable. */
-    RegisteredRelay readRelay(byte[] value);
+    RelayRegistration readRelay(byte[] value);
 
     /** Reads the answer to a listing. */
     StoreResponse readListing(int status, byte[] body);
