--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -121,7 +121,7 @@
                                 .info(
                                         "relay_registered",
                                         "peers",
-                                        ownRegistration().peers().toString());
+                                        ownRegistration().peerAddress().toString());
                     }
                 });
     }
@@ -158,7 +158,7 @@
     }
 
     private void know(String relay, RelayRegistration registered) {
-        Address at = registered.peers();
+        Address at = registered.peerAddress();
         InetSocketAddress address = new InetSocketAddress(at.host(), at.port());
         addresses.put(relay, address);
         names.computeIfAbsent(address, unseen -> new HashSet<>()).add(relay);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RelayRegistration.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RelayRegistration.java
@@ -5,7 +5,7 @@
 /**
  * What a relay tells of itself in the platform's store.
  *
- * @param peers where it hears of other relays
+ * @param peerAddress where it hears of other relays
  * @param failureDomain where it stands
  */
-public record RelayRegistration(Address peers, String failureDomain) {}
+public record RelayRegistration(Address peerAddress, String failureDomain) {}
