--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -17,10 +17,10 @@
 import org.rattanrudder.daemon.relay.port.EngineDialect.EngineReport;
 import org.rattanrudder.daemon.relay.port.EngineDialect.LoadOrder;
 import org.rattanrudder.daemon.relay.port.KeyedRecord;
-import org.rattanrudder.daemon.relay.port.NamedWeights;
 import org.rattanrudder.daemon.relay.port.StoreDialect;
 import org.rattanrudder.daemon.relay.port.StoreDialect.Topic;
 import org.rattanrudder.daemon.relay.port.StoreResponse;
+import org.rattanrudder.daemon.relay.port.WeightsVersion;
 
 /**
  * Brings engines to the newest weights, if this relay holds the lease.
@@ -121,7 +121,7 @@
     }
 
     /** Engines of one service that lack the newest weights of a model. */
-    private record Work(String service, NamedWeights weights, List<Target> targets) {}
+    private record Work(String service, WeightsVersion weights, List<Target> targets) {}
 
     private List<Work> work() {
         List<Work> work = new ArrayList<>();
@@ -139,7 +139,7 @@
                         .filter(target -> target.weights(model) > 0)
                         .toList();
                 if (serving.stream().anyMatch(target -> target.weights(model) < newest)) {
-                    work.add(new Work(service.name(), new NamedWeights(model, newest), serving));
+                    work.add(new Work(service.name(), new WeightsVersion(model, newest), serving));
                 }
             });
         }
@@ -152,7 +152,7 @@
         if (appends.isBusy()) {
             return;
         }
-        Map<Target, NamedWeights> batch = new HashMap<>();
+        Map<Target, WeightsVersion> batch = new HashMap<>();
         for (Work each : work) {
             RolloutPlanner plan = plan(each);
             List<RolloutPlanner.Engine> engines = each.targets().stream()
@@ -183,7 +183,7 @@
         return plans.computeIfAbsent(work.service() + "/" + work.weights().model(), unseen -> new RolloutPlanner());
     }
 
-    private void append(Map<Target, NamedWeights> batch) {
+    private void append(Map<Target, WeightsVersion> batch) {
         List<String> ids = batch.keySet().stream().map(Target::id).sorted().toList();
         long sentAt = state.now();
         long sentAtWall = System.currentTimeMillis();
@@ -194,7 +194,7 @@
                 answer -> appended(answer, batch, sentAt, sentAtWall, at));
     }
 
-    private void appended(CallAnswer answer, Map<Target, NamedWeights> batch, long sentAt, long sentAtWall, long at) {
+    private void appended(CallAnswer answer, Map<Target, WeightsVersion> batch, long sentAt, long sentAtWall, long at) {
         if (timer.isClosed()) {
             return;
         }
@@ -224,7 +224,7 @@
                         read.getClass().getSimpleName());
     }
 
-    private void order(Target target, NamedWeights weights) {
+    private void order(Target target, WeightsVersion weights) {
         ordering.add(target.id());
         CallLine line = new CallLine(state.connector(), target.registration()::address);
         line.call(state.platform().engines().report(Optional.of(target.id())), CALL_MILLIS, answer -> {
@@ -241,7 +241,7 @@
         });
     }
 
-    private void give(Target target, NamedWeights weights, EngineReport report, CallLine line) {
+    private void give(Target target, WeightsVersion weights, EngineReport report, CallLine line) {
         LoadOrder order = new LoadOrder(
                 weights, state.settings().instance(), lease.fencingToken(), report.acceptedOrders(), target.id());
         RolloutPlanner plan = plans.get(target.registration().service() + "/" + weights.model());
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -33,11 +33,11 @@
 import org.rattanrudder.daemon.loop.RunningProcess;
 import org.rattanrudder.daemon.relay.TopicFollower.Reading;
 import org.rattanrudder.daemon.relay.port.KeyedRecord;
-import org.rattanrudder.daemon.relay.port.NamedWeights;
 import org.rattanrudder.daemon.relay.port.PlatformAdapter;
 import org.rattanrudder.daemon.relay.port.StoreDialect;
 import org.rattanrudder.daemon.relay.port.StoreDialect.DesiredState;
 import org.rattanrudder.daemon.relay.port.StoreDialect.Topic;
+import org.rattanrudder.daemon.relay.port.WeightsVersion;
 import org.rattanrudder.document.RelaySettings;
 
 /**
@@ -200,7 +200,7 @@
             });
         }
 
-        private void named(NamedWeights weights, long offset) {
+        private void named(WeightsVersion weights, long offset) {
             DesiredVersions versions = state.weights();
             boolean news = caughtUp
                     ? versions.addDesired(weights.model(), weights.version(), state.now())
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/EngineDialect.java
@@ -15,7 +15,7 @@
      * @param acceptedOrders how many orders it has taken
      * @param inFlight requests that run or wait
      */
-    record EngineReport(List<NamedWeights> weights, boolean busy, long acceptedOrders, int inFlight) {}
+    record EngineReport(List<WeightsVersion> weights, boolean busy, long acceptedOrders, int inFlight) {}
 
     /**
      * An order to load weights at once; runs go on under them.
@@ -26,7 +26,7 @@
      * @param expectedOrders how many orders the engine must have taken before; anything else voids it
      * @param target the incarnation that is meant
      */
-    record LoadOrder(NamedWeights weights, String holder, long fencingToken, long expectedOrders, String target) {}
+    record LoadOrder(WeightsVersion weights, String holder, long fencingToken, long expectedOrders, String target) {}
 
     /** Returns the call that asks an engine for its state. */
     PlatformCall report(Optional<String> target);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
@@ -37,7 +37,7 @@
          *
          * @param weights the model and its version
          */
-        record DesiredWeights(NamedWeights weights) implements DesiredState {}
+        record DesiredWeights(WeightsVersion weights) implements DesiredState {}
     }
 
     /** Returns the call for a page of the newest records; after the given key, or the first page. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/NamedWeights.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/WeightsVersion.java
@@ -6,4 +6,4 @@
  * @param model the model
  * @param version increases with each naming
  */
-public record NamedWeights(String model, long version) {}
+public record WeightsVersion(String model, long version) {}
