--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallLine.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallLine.java
@@ -98,7 +98,7 @@
 
     private void write(PlatformCall call) {
         DefaultFullHttpRequest request = new DefaultFullHttpRequest(
-                HttpVersion.HTTP_1_1, call.method(), call.target(), Unpooled.wrappedBuffer(call.body()));
+                HttpVersion.HTTP_1_1, call.method(), call.requestUri(), Unpooled.wrappedBuffer(call.body()));
         request.headers().set(call.headers());
         request.headers().set(HttpHeaderNames.HOST, connectedTo.toString());
         if (call.body().length > 0) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/PlatformCall.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/PlatformCall.java
@@ -7,8 +7,8 @@
  * A call to the platform's store, an engine or a context store.
  *
  * @param method the HTTP method
- * @param target path and query
+ * @param requestUri path and query
  * @param headers headers beside the usual ones
  * @param body the body; empty if none
  */
-public record PlatformCall(HttpMethod method, String target, HttpHeaders headers, byte[] body) {}
+public record PlatformCall(HttpMethod method, String requestUri, HttpHeaders headers, byte[] body) {}
