--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OwnAnswers.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OwnAnswers.java
@@ -59,7 +59,7 @@
         byte[] text = ("{\"error\":{\"kind\":\"" + error.wireName() + "\"}}\n").getBytes(StandardCharsets.UTF_8);
         DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(error.status()), Unpooled.wrappedBuffer(text));
-        response.headers().set(dialect.ownAnswer(requestId));
+        response.headers().set(dialect.localReplyHeaders(requestId));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
         HttpUtil.setContentLength(response, text.length);
         return response;
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RequestDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RequestDialect.java
@@ -24,5 +24,5 @@
     HttpHeaders forCaller(HttpHeaders fromTarget);
 
     /** Returns the headers of an answer of our own to a request with the id; an empty id is left out. */
-    HttpHeaders ownAnswer(String requestId);
+    HttpHeaders localReplyHeaders(String requestId);
 }
