--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallLine.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallLine.java
@@ -36,7 +36,7 @@
     private Address connectedTo;
     private Channel channel;
     private Consumer<CallAnswer> waiting;
-    private SilenceTimer timeout;
+    private InactivityTimer timeout;
 
     /**
      * Makes a line without a connection.
@@ -71,7 +71,7 @@
     void call(PlatformCall call, long timeoutMillis, Consumer<CallAnswer> then) {
         waiting = then;
         EventLoop loop = (EventLoop) bootstrap.config().group().next();
-        timeout = SilenceTimer.start(loop, () -> end(new CallAnswer.Unanswered("timeout"), true), timeoutMillis);
+        timeout = InactivityTimer.start(loop, () -> end(new CallAnswer.Unanswered("timeout"), true), timeoutMillis);
         Address current = address.get();
         if (!current.equals(connectedTo)) {
             drop();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceTimer.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/InactivityTimer.java
@@ -10,7 +10,7 @@
  * <p>After a pause of the process the loop's timers run before its connections are read, and the pause looks like the
  * silence of others: what they sent lies there unread. A check that is late itself waits until connections were read.
  */
-final class SilenceTimer {
+final class InactivityTimer {
     /** A check that is this late, in ms, shows that the loop stood still: usual timers are late by a few. */
     private static final long LATE_MILLIS = 50;
 
@@ -21,14 +21,14 @@
     private final Runnable check;
     private ScheduledFuture<?> next;
 
-    private SilenceTimer(EventLoop loop, Runnable check) {
+    private InactivityTimer(EventLoop loop, Runnable check) {
         this.loop = loop;
         this.check = check;
     }
 
     /** Starts a timer; to be called, and cancelled, on the loop. */
-    static SilenceTimer start(EventLoop loop, Runnable check, long millis) {
-        SilenceTimer timer = new SilenceTimer(loop, check);
+    static InactivityTimer start(EventLoop loop, Runnable check, long millis) {
+        InactivityTimer timer = new InactivityTimer(loop, check);
         long dueAt = nowMillis() + millis;
         timer.next = loop.schedule(() -> timer.due(dueAt), millis, TimeUnit.MILLISECONDS);
         return timer;
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
@@ -17,7 +17,7 @@
     private final TargetAttempt attempt;
     private final Runnable suspect;
     private final LongConsumer tooLong;
-    private SilenceTimer next;
+    private InactivityTimer next;
     private boolean stopped;
 
     /**
@@ -60,7 +60,7 @@
         if (stopped) {
             return;
         }
-        next = SilenceTimer.start(state.loop(), this::look, millis);
+        next = InactivityTimer.start(state.loop(), this::look, millis);
     }
 
     /** Looks no more. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -121,7 +121,7 @@
         }
         Claim claim = new Claim(then);
         dial(target, pool, claim, found -> {});
-        SilenceTimer.start(loop, () -> giveUp(target, claim), patience.millis());
+        InactivityTimer.start(loop, () -> giveUp(target, claim), patience.millis());
     }
 
     /** Dials a target without a request, to see whether it is there; what opens is kept for the next request. */
