--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -170,7 +170,7 @@
     }
 
     /** Takes what dials found. */
-    private final class Reached implements TargetPools.Reached {
+    private final class Reached implements TargetPools.ReachabilityListener {
         @Override
         public boolean isKnown(Target target) {
             return state.fleet().find(target.id()).filter(target::equals).isPresent();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -49,13 +49,13 @@
     private final EventLoop loop;
     private final RequestDialect dialect;
     private final LongSupplier clock;
-    private final Reached reached;
+    private final ReachabilityListener reached;
     private final DialTimeout patience = new DialTimeout();
     /** By the target, not its id: one that has started again has none of the connections of before. */
     private final Map<Target, Pool> pools = new HashMap<>();
 
     /** Told of what dials without a request found. */
-    interface Reached {
+    interface ReachabilityListener {
         /** Returns whether a target still matters. */
         boolean isKnown(Target target);
 
@@ -69,7 +69,12 @@
      * @param loop times the dials
      * @param clock milliseconds of a steady clock
      */
-    TargetPools(Bootstrap connector, EventLoop loop, RequestDialect dialect, LongSupplier clock, Reached reached) {
+    TargetPools(
+            Bootstrap connector,
+            EventLoop loop,
+            RequestDialect dialect,
+            LongSupplier clock,
+            ReachabilityListener reached) {
         this.connector = connector;
         this.loop = loop;
         this.dialect = dialect;
