--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -177,7 +177,7 @@
         }
 
         @Override
-        public void again(Target target) {
+        public void onReachable(Target target) {
             state.log().info("target_reached_again", "target", target.id());
             state.drainLine(target.registration().service());
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -60,7 +60,7 @@
         boolean isKnown(Target target);
 
         /** A target that couldn't be reached can be reached again. */
-        void again(Target target);
+        void onReachable(Target target);
     }
 
     /**
@@ -193,7 +193,7 @@
             keep(pool, connection);
         }
         if (wasLost) {
-            reached.again(target);
+            reached.onReachable(target);
         }
     }
 
