--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -369,7 +369,7 @@
     }
 
     /** The process ends: whoever waits for an answer gets its last one. */
-    void processEnds() {
+    void onShutdown() {
         if (exchange != null) {
             exchange.processEnds();
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
@@ -65,7 +65,7 @@
         if (quiet || late) {
             finishedInTime = !busy;
             // A caller that is told nothing waits for its own time limit, and can't know whether to come back.
-            List.copyOf(callers).forEach(CallerConnection::processEnds);
+            List.copyOf(callers).forEach(CallerConnection::onShutdown);
             drained.countDown();
         }
     }
