--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CrashWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CrashDetector.java
@@ -17,7 +17,7 @@
  * <p>While a process ends, its connections may be closed before it stops to listen. A dial that opens therefore proves
  * only by its connection's lasting that the target lives.
  */
-final class CrashWatch {
+final class CrashDetector {
     /** How long requests are gathered whose connections the same end has broken, in ms. */
     private static final long GATHER_MILLIS = 20;
 
@@ -32,7 +32,7 @@
     private BiConsumer<Target, Consumer<Dial>> probe = (target, then) -> {};
     private BiConsumer<Target, Set<RequestFingerprint>> listener = (target, requests) -> {};
 
-    CrashWatch(EventLoop loop) {
+    CrashDetector(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -51,7 +51,7 @@
     private final long relayHash;
     private final WorkNews workNews;
     private final FetchNews fetchNews = new FetchNews();
-    private final CrashWatch crashes;
+    private final CrashDetector crashes;
     private final Quarantine quarantine = new Quarantine();
     private boolean draining;
     private long drainingSince;
@@ -77,7 +77,7 @@
         directory = new PartDirectory();
         relayHash = Hashing.of(settings.instance());
         workNews = new WorkNews(loop);
-        crashes = new CrashWatch(loop);
+        crashes = new CrashDetector(loop);
         lag = new EventLoopLag(now(), RelayProcess.SWEEP_MILLIS);
     }
 
@@ -137,7 +137,7 @@
     }
 
     /** Returns what tells ends of targets. */
-    CrashWatch crashes() {
+    CrashDetector crashes() {
         return crashes;
     }
 
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/CrashWatchTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/CrashWatchTest.java
@@ -24,7 +24,7 @@
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final Deque<Dial> dials = new ArrayDeque<>();
     private final List<Set<RequestFingerprint>> ends = new ArrayList<>();
-    private final CrashWatch watch = new CrashWatch(channel.eventLoop());
+    private final CrashDetector watch = new CrashDetector(channel.eventLoop());
 
     @BeforeEach
     void listen() {
@@ -64,7 +64,7 @@
 
     @Test
     void aTargetThatResetsEachDialLives() {
-        for (int dial = 0; dial < CrashWatch.MOST_DIALS; dial++) {
+        for (int dial = 0; dial < CrashDetector.MOST_DIALS; dial++) {
             dials.add(failed(new SocketException("Connection reset by peer")));
         }
 
@@ -74,8 +74,8 @@
 
     private List<Set<RequestFingerprint>> endsAfterABreak() {
         watch.broken(KnownTargets.target("i-1", Map.of(), NOW), REQUEST);
-        for (int step = 0; step < CrashWatch.MOST_DIALS + 1; step++) {
-            channel.advanceTimeBy(CrashWatch.LASTING_MILLIS, TimeUnit.MILLISECONDS);
+        for (int step = 0; step < CrashDetector.MOST_DIALS + 1; step++) {
+            channel.advanceTimeBy(CrashDetector.LASTING_MILLIS, TimeUnit.MILLISECONDS);
             channel.runScheduledPendingTasks();
         }
         return ends;
