--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -113,7 +113,7 @@
             placeAnywhere();
             return;
         }
-        if (state.line(plan.service()).size() > 0 || !placeInWindow()) {
+        if (state.holdingQueue(plan.service()).size() > 0 || !placeInWindow()) {
             wait.join(!tried.isEmpty());
         }
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
@@ -26,7 +26,7 @@
      * @param letDown whether a target has let the request down: it isn't sent away for the time that it lost there
      */
     void join(boolean letDown) {
-        HoldingQueue<Exchange> line = state.line(plan.service());
+        HoldingQueue<Exchange> line = state.holdingQueue(plan.service());
         long now = state.now();
         long onTimeUntil = Math.max(now, plan.onTimeUntil());
         long lateUntil = letDown ? now + plan.route().objectiveMillis() : Math.max(now, plan.lateUntil());
@@ -46,7 +46,7 @@
     /** Leaves the line if it is there. */
     void leave() {
         if (place != null) {
-            state.line(plan.service()).remove(place);
+            state.holdingQueue(plan.service()).remove(place);
             expiry.cancel(false);
             place = null;
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -190,13 +190,13 @@
     }
 
     /** Returns the line of a service's requests that wait for an engine. */
-    HoldingQueue<Exchange> line(String service) {
+    HoldingQueue<Exchange> holdingQueue(String service) {
         return lines.computeIfAbsent(service, unseen -> new HoldingQueue<>());
     }
 
     /** Lets requests that can't be on time go behind the others, and refuses those that would wait too long. */
     void expireLine(String service) {
-        HoldingQueue<Exchange> line = line(service);
+        HoldingQueue<Exchange> line = holdingQueue(service);
         long now = now();
         long allowed =
                 HoldingQueue.maxLateTokens(fleet.activeTargets(service, now).size(), relays(now));
@@ -206,7 +206,7 @@
 
     /** Sends requests that wait, as far as engines have room. */
     void drainLine(String service) {
-        HoldingQueue<Exchange> line = line(service);
+        HoldingQueue<Exchange> line = holdingQueue(service);
         if (line.size() == 0 || !linesBeingDrained.add(service)) {
             return;
         }
