--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
@@ -39,8 +39,8 @@
     /** The request can't be on time any more; it may wait on for a while, behind those that can. */
     private void late(long lateUntil) {
         long millis = Math.max(1, lateUntil - state.now());
-        expiry = state.loop().schedule(() -> state.expireLine(plan.service()), millis, TimeUnit.MILLISECONDS);
-        state.expireLine(plan.service());
+        expiry = state.loop().schedule(() -> state.expireQueue(plan.service()), millis, TimeUnit.MILLISECONDS);
+        state.expireQueue(plan.service());
     }
 
     /** Leaves the line if it is there. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -195,7 +195,7 @@
     }
 
     /** Lets requests that can't be on time go behind the others, and refuses those that would wait too long. */
-    void expireLine(String service) {
+    void expireQueue(String service) {
         HoldingQueue<Exchange> line = holdingQueue(service);
         long now = now();
         long allowed =
