--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -281,7 +281,7 @@
     public void content(ByteBuf piece) {
         if (attempt.piece(state.now())) {
             state.fetchNews().firstByte(attempt, state.directory(), state.now());
-            state.drainLine(plan.service());
+            state.dispatchQueued(plan.service());
         }
         answer.content(piece);
     }
@@ -371,7 +371,7 @@
         attempt = null;
         answer.discard();
         state.metrics().attempt(plan.service(), outcome);
-        state.drainLine(plan.service());
+        state.dispatchQueued(plan.service());
     }
 
     private void deadlineReached() {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -179,7 +179,7 @@
         @Override
         public void onReachable(Target target) {
             state.log().info("target_reached_again", "target", target.id());
-            state.drainLine(target.registration().service());
+            state.dispatchQueued(target.registration().service());
         }
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -201,11 +201,11 @@
         long allowed =
                 HoldingQueue.maxLateTokens(fleet.activeTargets(service, now).size(), relays(now));
         line.expire(now, allowed).forEach(refused -> refused.request().refuseFromLine());
-        drainLine(service);
+        dispatchQueued(service);
     }
 
     /** Sends requests that wait, as far as engines have room. */
-    void drainLine(String service) {
+    void dispatchQueued(String service) {
         HoldingQueue<Exchange> line = holdingQueue(service);
         if (line.size() == 0 || !linesBeingDrained.add(service)) {
             return;
