--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -218,7 +218,7 @@
 
     /** The target has been silent for too long: another one is tried if that is allowed. */
     private void silent(long quietMillis) {
-        if (RetryPolicy.mayRetry(progress(1), AttemptOutcome.SILENT) && state.tryRepeat(plan.service())) {
+        if (RetryPolicy.mayRetry(progress(1), AttemptOutcome.SILENT) && state.tryAcquireRetry(plan.service())) {
             attempt.connection().abort();
             closeAttempt(AttemptOutcome.SILENT, "silent for " + quietMillis + " ms");
             runs++;
@@ -334,7 +334,7 @@
         }
         boolean useful = outcome != AttemptOutcome.REJECTED || isAnotherLeft();
         boolean allowed = useful && RetryPolicy.mayRetry(progress(0), outcome) && !quarantine.mayHaveBeenLast(outcome);
-        if (allowed && (!counted || state.tryRepeat(plan.service()))) {
+        if (allowed && (!counted || state.tryAcquireRetry(plan.service()))) {
             place();
         } else if (answer.began()) {
             breakOff(reason);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -222,7 +222,7 @@
     }
 
     /** Takes a further send of a service's request from the retry budget; false if none is left. */
-    boolean tryRepeat(String service) {
+    boolean tryAcquireRetry(String service) {
         long now = now();
         return allowance(service).tryAcquire(relays(now), now);
     }
