--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -204,7 +204,7 @@
         lastAttempt = Optional.of(attempt);
         if (!counted) {
             counted = true;
-            state.allowance(plan.service()).onRequest(state.now());
+            state.retryBudget(plan.service()).onRequest(state.now());
         }
         HttpHeaders headers = state.platform().requests().forTarget(head.headers(), outgoing.forwarding());
         HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -224,10 +224,10 @@
     /** Takes a further send of a service's request from the retry budget; false if none is left. */
     boolean tryAcquireRetry(String service) {
         long now = now();
-        return allowance(service).tryAcquire(relays(now), now);
+        return retryBudget(service).tryAcquire(relays(now), now);
     }
 
-    WindowedRetryBudget allowance(String service) {
+    WindowedRetryBudget retryBudget(String service) {
         return allowances.computeIfAbsent(
                 service,
                 unseen -> new WindowedRetryBudget(
