--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -168,7 +168,7 @@
         admittance = state.configuration().get().authorize(facts.host(), head.uri(), facts.credential());
         if (admittance instanceof AccessDecision.Denied denied) {
             problem = denied.error();
-        } else if (!state.takes(((AccessDecision.Granted) admittance).route())) {
+        } else if (!state.accepts(((AccessDecision.Granted) admittance).route())) {
             problem = ErrorKind.DRAINING;
         }
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -246,7 +246,7 @@
     }
 
     /** Returns whether a request on the route is still taken. */
-    boolean takes(ServiceRoute route) {
+    boolean accepts(ServiceRoute route) {
         return !stopping || ShutdownPolicy.accepts(route, now() - stoppingSince, graceMillis());
     }
 
