--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -156,7 +156,7 @@
     }
 
     private void admit() {
-        if (state.refusing()) {
+        if (state.isRefusingRequests()) {
             problem = ErrorKind.DRAINING;
             return;
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -322,7 +322,7 @@
     private void sweep() {
         long now = state.now();
         state.lag().onTaskRun(now);
-        boolean closeIdle = state.refusing();
+        boolean closeIdle = state.isRefusingRequests();
         if (closeIdle && callersListening.isOpen()) {
             callersListening.close();
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -241,7 +241,7 @@
     }
 
     /** Returns whether new requests are refused, since they might not end before the process does. */
-    boolean refusing() {
+    boolean isRefusingRequests() {
         return draining && now() - drainingSince > ShutdownPolicy.callerDrainMillis(graceMillis());
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
@@ -60,7 +60,7 @@
         }
         long since = now - state.stoppingSince();
         boolean busy = callers.stream().anyMatch(CallerConnection::isBusy);
-        boolean quiet = state.refusing() && !busy;
+        boolean quiet = state.isRefusingRequests() && !busy;
         boolean late = since > graceMillis() - ShutdownPolicy.exitMarginMillis(graceMillis());
         if (quiet || late) {
             finishedInTime = !busy;
