--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/AnswerWriter.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/AnswerWriter.java
@@ -116,7 +116,7 @@
     private boolean persist(HttpRequest head, HttpResponse response) {
         boolean keep = head != null
                 && HttpUtil.isKeepAlive(head)
-                && !state.draining()
+                && !state.isDraining()
                 && !head.decoderResult().isFailure();
         if (!keep) {
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -114,7 +114,7 @@
 
     private void step() {
         List<Work> work = work();
-        if (!work.isEmpty() && !state.draining()) {
+        if (!work.isEmpty() && !state.isDraining()) {
             proceed(work);
         }
         timer.next(this::step, work.isEmpty() ? IDLE_STEP_MILLIS : STEP_MILLIS);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -344,7 +344,7 @@
 
     private boolean isReady() {
         return state.configuration().isPresent()
-                && !state.draining()
+                && !state.isDraining()
                 && !state.fleet().all(state.now()).isEmpty();
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -53,7 +53,7 @@
     private final FetchNews fetchNews = new FetchNews();
     private final CrashDetector crashes;
     private final Quarantine quarantine = new Quarantine();
-    private boolean draining;
+    private boolean isDraining;
     private long drainingSince;
     private boolean stopping;
     private long stoppingSince;
@@ -236,13 +236,13 @@
                         settings.bounds().retryWindowMillis()));
     }
 
-    boolean draining() {
-        return draining;
+    boolean isDraining() {
+        return isDraining;
     }
 
     /** Returns whether new requests are refused, since they might not end before the process does. */
     boolean isRefusingRequests() {
-        return draining && now() - drainingSince > ShutdownPolicy.callerDrainMillis(graceMillis());
+        return isDraining && now() - drainingSince > ShutdownPolicy.callerDrainMillis(graceMillis());
     }
 
     /** Returns whether a request on the route is still taken. */
@@ -273,7 +273,7 @@
     }
 
     void drain() {
-        draining = true;
+        isDraining = true;
         drainingSince = now();
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
@@ -55,7 +55,7 @@
 
     /** Ends the process if nothing runs any more, or no time is left. */
     void look(long now) {
-        if (!state.draining()) {
+        if (!state.isDraining()) {
             return;
         }
         long since = now - state.stoppingSince();
