--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -386,7 +386,7 @@
                 .gauge(
                         "rattanrudder_relay_stopping",
                         "1 once the process was asked to stop",
-                        () -> state.stopping() ? 1 : 0);
+                        () -> state.isStopping() ? 1 : 0);
     }
 
     /** Takes over what may change while a relay runs from settings that were read again. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -55,7 +55,7 @@
     private final Quarantine quarantine = new Quarantine();
     private boolean isDraining;
     private long drainingSince;
-    private boolean stopping;
+    private boolean isStopping;
     private long stoppingSince;
     private long graceAtStop;
 
@@ -247,12 +247,12 @@
 
     /** Returns whether a request on the route is still taken. */
     boolean accepts(ServiceRoute route) {
-        return !stopping || ShutdownPolicy.accepts(route, now() - stoppingSince, graceMillis());
+        return !isStopping || ShutdownPolicy.accepts(route, now() - stoppingSince, graceMillis());
     }
 
     /** Returns whether the process was asked to stop. */
-    boolean stopping() {
-        return stopping;
+    boolean isStopping() {
+        return isStopping;
     }
 
     /** Returns when the process was asked to stop. */
@@ -262,14 +262,14 @@
 
     /** Notes that the process was asked to stop; it still takes requests until {@link #drain}. */
     void stop() {
-        stopping = true;
+        isStopping = true;
         stoppingSince = now();
         graceAtStop = settings.bounds().graceMillis();
     }
 
     /** Returns how long the process may take to stop, in ms: what held when it was asked counts until its end. */
     long graceMillis() {
-        return stopping ? graceAtStop : settings.bounds().graceMillis();
+        return isStopping ? graceAtStop : settings.bounds().graceMillis();
     }
 
     void drain() {
