--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -199,7 +199,7 @@
         HoldingQueue<Exchange> line = holdingQueue(service);
         long now = now();
         long allowed =
-                HoldingQueue.maxLateTokens(fleet.activeTargets(service, now).size(), relays(now));
+                HoldingQueue.maxLateTokens(fleet.activeTargets(service, now).size(), relayCount(now));
         line.expire(now, allowed).forEach(refused -> refused.request().refuseFromLine());
         dispatchQueued(service);
     }
@@ -217,14 +217,14 @@
     }
 
     /** Returns how many relays are known, this one included. */
-    int relays(long nowMillis) {
+    int relayCount(long nowMillis) {
         return 1 + fleet.livePeerCount(nowMillis);
     }
 
     /** Takes a further send of a service's request from the retry budget; false if none is left. */
     boolean tryAcquireRetry(String service) {
         long now = now();
-        return retryBudget(service).tryAcquire(relays(now), now);
+        return retryBudget(service).tryAcquire(relayCount(now), now);
     }
 
     WindowedRetryBudget retryBudget(String service) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -174,7 +174,7 @@
     }
 
     private int connections(long now) {
-        return backend.map(known -> known.connectionsPerRelay(state.relays(now)))
+        return backend.map(known -> known.connectionsPerRelay(state.relayCount(now)))
                 .orElse(Integer.MAX_VALUE);
     }
 
