--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -103,7 +103,7 @@
 
     void start() {
         follower.start();
-        state.workNews().tellBy(this::tellAtOnce);
+        state.placementBroadcaster().tellBy(this::tellAtOnce);
         timer.later(this::tell, ReportSchedule.ROUND_MILLIS);
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -49,7 +49,7 @@
     private Optional<ServingConfiguration> configuration = Optional.empty();
     private final EventLoopLag lag;
     private final long relayHash;
-    private final WorkNews workNews;
+    private final WorkNews placementBroadcaster;
     private final FetchNews fetchNews = new FetchNews();
     private final CrashDetector crashes;
     private final Quarantine quarantine = new Quarantine();
@@ -76,7 +76,7 @@
         this.random = random;
         directory = new PartDirectory();
         relayHash = Hashing.of(settings.instance());
-        workNews = new WorkNews(loop);
+        placementBroadcaster = new WorkNews(loop);
         crashes = new CrashDetector(loop);
         lag = new EventLoopLag(now(), RelayProcess.SWEEP_MILLIS);
     }
@@ -127,8 +127,8 @@
     }
 
     /** Returns what gathers news of work for the other relays. */
-    WorkNews workNews() {
-        return workNews;
+    WorkNews placementBroadcaster() {
+        return placementBroadcaster;
     }
 
     /** Returns what gathers news of fetches for the other relays. */
