--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -280,7 +280,7 @@
     @Override
     public void content(ByteBuf piece) {
         if (attempt.piece(state.now())) {
-            state.fetchNews().firstByte(attempt, state.directory(), state.now());
+            state.fetchLateness().firstByte(attempt, state.directory(), state.now());
             state.dispatchQueued(plan.service());
         }
         answer.content(piece);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -177,13 +177,13 @@
 
     private void tell() {
         long now = state.now();
-        state.fetchNews().nextRound();
+        state.fetchLateness().nextRound();
         shareTargets(now);
         List<ReportSchedule.Due> due = schedule.nextRound(now);
         if (!due.isEmpty()) {
             LoadReport load = all(now);
             for (ReportSchedule.Due group : due) {
-                List<StoreLateness> late = state.fetchNews().ofLast(group.intervalRounds());
+                List<StoreLateness> late = state.fetchLateness().ofLast(group.intervalRounds());
                 send(PeerCodec.write(load.withInterval(group.intervalMillis(), late)), group.relays());
             }
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -50,7 +50,7 @@
     private final EventLoopLag lag;
     private final long relayHash;
     private final WorkNews placementBroadcaster;
-    private final FetchNews fetchNews = new FetchNews();
+    private final FetchNews fetchLateness = new FetchNews();
     private final CrashDetector crashes;
     private final Quarantine quarantine = new Quarantine();
     private boolean isDraining;
@@ -132,8 +132,8 @@
     }
 
     /** Returns what gathers news of fetches for the other relays. */
-    FetchNews fetchNews() {
-        return fetchNews;
+    FetchNews fetchLateness() {
+        return fetchLateness;
     }
 
     /** Returns what tells ends of targets. */
