--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineCheck.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineCheck.java
@@ -54,7 +54,7 @@
 
     /** Notes that the connection to a target broke in the middle of an attempt. */
     void broken(Target target) {
-        state.crashes().broken(target, fingerprint());
+        state.crashDetector().broken(target, fingerprint());
     }
 
     /** Notes that a target has answered. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -101,7 +101,7 @@
                 new Targets());
         orders = new OrderGiver(state, incarnation);
         quarantine = closer.add(new QuarantineExchange(state));
-        state.crashes().use(pools::probe, quarantine::crashed);
+        state.crashDetector().use(pools::probe, quarantine::crashed);
         peers = closer.add(
                 new PeerExchange(state, new Bootstrap().group(group), incarnation, new OwnNews(), new PeerNews()));
         loop.execute(this::begin);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -51,7 +51,7 @@
     private final long relayHash;
     private final WorkNews placementBroadcaster;
     private final FetchNews fetchLateness = new FetchNews();
-    private final CrashDetector crashes;
+    private final CrashDetector crashDetector;
     private final Quarantine quarantine = new Quarantine();
     private boolean isDraining;
     private long drainingSince;
@@ -77,7 +77,7 @@
         directory = new PartDirectory();
         relayHash = Hashing.of(settings.instance());
         placementBroadcaster = new WorkNews(loop);
-        crashes = new CrashDetector(loop);
+        crashDetector = new CrashDetector(loop);
         lag = new EventLoopLag(now(), RelayProcess.SWEEP_MILLIS);
     }
 
@@ -137,8 +137,8 @@
     }
 
     /** Returns what tells ends of targets. */
-    CrashDetector crashes() {
-        return crashes;
+    CrashDetector crashDetector() {
+        return crashDetector;
     }
 
     /** Returns what is held against requests. */
