--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -203,7 +203,7 @@
         }
         RequestPlan plan = new RequestPlan(state, facts, (AccessDecision.Granted) admittance, arrivedAt);
         exchange = new Exchange(state, pools, this, head, body, plan);
-        if (state.lag().isLate(state.now())) {
+        if (state.eventLoopLag().isLate(state.now())) {
             startAfterATurn(exchange);
         } else {
             exchange.start();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -182,7 +182,7 @@
     }
 
     private void connected(Target target, TargetConnection opened) {
-        if (ended || (state.lag().isLate(state.now()) && caller.hasLeft())) {
+        if (ended || (state.eventLoopLag().isLate(state.now()) && caller.hasLeft())) {
             if (opened != null) {
                 opened.abort();
             }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -321,13 +321,13 @@
 
     private void sweep() {
         long now = state.now();
-        state.lag().onTaskRun(now);
+        state.eventLoopLag().onTaskRun(now);
         boolean closeIdle = state.isRefusingRequests();
         if (closeIdle && callersListening.isOpen()) {
             callersListening.close();
         }
         // Late, what callers have sent may lie unread, and they look idle; a stop has no time to wait for that.
-        if (closeIdle || !state.lag().isLate(now)) {
+        if (closeIdle || !state.eventLoopLag().isLate(now)) {
             List.copyOf(callers).forEach(caller -> caller.sweep(now, closeIdle));
         }
         pools.sweep(Set.copyOf(state.fleet().all(now)), now);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -47,7 +47,7 @@
     private final Map<String, HoldingQueue<Exchange>> lines = new HashMap<>();
     private final Set<String> linesBeingDrained = new HashSet<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
-    private final EventLoopLag lag;
+    private final EventLoopLag eventLoopLag;
     private final long relayHash;
     private final WorkNews placementBroadcaster;
     private final FetchNews fetchLateness = new FetchNews();
@@ -78,7 +78,7 @@
         relayHash = Hashing.of(settings.instance());
         placementBroadcaster = new WorkNews(loop);
         crashDetector = new CrashDetector(loop);
-        lag = new EventLoopLag(now(), RelayProcess.SWEEP_MILLIS);
+        eventLoopLag = new EventLoopLag(now(), RelayProcess.SWEEP_MILLIS);
     }
 
     /** Returns milliseconds of a steady clock. */
@@ -87,8 +87,8 @@
     }
 
     /** Returns whether the event loop has lately run late. */
-    EventLoopLag lag() {
-        return lag;
+    EventLoopLag eventLoopLag() {
+        return eventLoopLag;
     }
 
     RelaySettings settings() {
