--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -72,7 +72,7 @@
     public void channelActive(ChannelHandlerContext active) {
         context = active;
         answers = new AnswerWriter(state, active);
-        lastReadAt = state.now();
+        lastReadAt = state.nowMillis();
         open.add(this);
     }
 
@@ -90,7 +90,7 @@
 
     /** Notes raw bytes, which may be a part of a head. */
     void bytesRead() {
-        lastReadAt = state.now();
+        lastReadAt = state.nowMillis();
         if (partialHeadSince < 0 && head == null) {
             partialHeadSince = lastReadAt;
         }
@@ -128,7 +128,7 @@
     private void takeHead(HttpRequest request) {
         partialHeadSince = -1;
         head = request;
-        arrivedAt = state.now();
+        arrivedAt = state.nowMillis();
         problem = null;
         admittance = null;
         facts = null;
@@ -203,7 +203,7 @@
         }
         RequestPlan plan = new RequestPlan(state, facts, (AccessDecision.Granted) admittance, arrivedAt);
         exchange = new Exchange(state, pools, this, head, body, plan);
-        if (state.eventLoopLag().isLate(state.now())) {
+        if (state.eventLoopLag().isLate(state.nowMillis())) {
             startAfterATurn(exchange);
         } else {
             exchange.start();
@@ -221,7 +221,7 @@
     }
 
     private long callerLeft() {
-        return facts == null ? 0 : facts.deadlineMillis().orElse(0) - (state.now() - arrivedAt);
+        return facts == null ? 0 : facts.deadlineMillis().orElse(0) - (state.nowMillis() - arrivedAt);
     }
 
     private void logDenied(ErrorKind error) {
@@ -297,7 +297,7 @@
     private void nextRequest() {
         head = null;
         body = null;
-        lastReadAt = state.now();
+        lastReadAt = state.nowMillis();
         if (closing) {
             closeGently();
             return;
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -71,7 +71,7 @@
                 caller,
                 state.platform().requests(),
                 plan.route().repeat(),
-                () -> state.metrics().firstByte(plan.route().name(), state.now() - plan.arrivedAt()));
+                () -> state.metrics().firstByte(plan.route().name(), state.nowMillis() - plan.arrivedAt()));
         log = new ExchangeLog(state, plan);
         wait = new LineWait(state, plan, this, log);
         quarantine = new QuarantineCheck(state, plan, head.uri(), body);
@@ -120,7 +120,7 @@
 
     /** Sends the request if an engine has room for it. */
     boolean placeInWindow() {
-        long now = state.now();
+        long now = state.nowMillis();
         boolean late = now > plan.onTimeUntil();
         List<Target> open = SendWindow.targetsWithRoom(
                         state.fleet().activeTargets(plan.service(), now),
@@ -147,7 +147,7 @@
     }
 
     private void placeAnywhere() {
-        long now = state.now();
+        long now = state.nowMillis();
         List<Target> targets = state.fleet().activeTargets(plan.service(), now);
         Optional<Placement.Choice> choice = Placement.choose(targets, plan.query(tried, now), now);
         if (choice.isPresent()) {
@@ -173,7 +173,7 @@
         boolean repeatable = plan.route().repeat().repeatable();
         // It counts from now on: what is placed while its connection opens would all go to the same target.
         Target.RequestCost expected = plan.expectedWork();
-        target.onSent(expected, state.now());
+        target.onSent(expected, state.nowMillis());
         state.placementBroadcaster().placed(target);
         pools.acquire(target, repeatable, opened -> {
             target.onEnded(expected, false);
@@ -182,7 +182,7 @@
     }
 
     private void connected(Target target, TargetConnection opened) {
-        if (ended || (state.eventLoopLag().isLate(state.now()) && caller.hasLeft())) {
+        if (ended || (state.eventLoopLag().isLate(state.nowMillis()) && caller.hasLeft())) {
             if (opened != null) {
                 opened.abort();
             }
@@ -200,11 +200,11 @@
 
     private void send(Target target, TargetConnection opened) {
         RequestPlan.Outgoing outgoing = plan.outgoing(target, answer.lastEventId());
-        attempt = new TargetAttempt(target, opened, outgoing, state.now());
+        attempt = new TargetAttempt(target, opened, outgoing, state.nowMillis());
         lastAttempt = Optional.of(attempt);
         if (!counted) {
             counted = true;
-            state.retryBudget(plan.service()).onRequest(state.now());
+            state.retryBudget(plan.service()).onRequest(state.nowMillis());
         }
         HttpHeaders headers = state.platform().requests().forTarget(head.headers(), outgoing.forwarding());
         HttpRequest request = new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), headers);
@@ -236,19 +236,19 @@
         Target target = attempt.target();
         facts.load().ifPresent(told -> {
             load = told.running() + "/" + told.queued();
-            target.updateReportedLoad(told.running(), told.queued(), state.now());
+            target.updateReportedLoad(told.running(), told.queued(), state.nowMillis());
         });
         plan.facts()
                 .model()
                 .ifPresent(model ->
-                        facts.weights().ifPresent(version -> target.confirmWeights(model, version, state.now())));
+                        facts.weights().ifPresent(version -> target.confirmWeights(model, version, state.nowMillis())));
         ResponseClassifier.Head judged =
                 new ResponseClassifier.Head(facts.status(), facts.signed(), facts.notRun(), facts.misdirected());
         switch (ResponseClassifier.classify(judged, progress(1))) {
             case FORWARD -> answer.head(response);
             case MISDIRECTED -> misdirected(target, facts);
             case REJECTED -> {
-                target.onRejected(state.now());
+                target.onRejected(state.nowMillis());
                 drop(AttemptOutcome.REJECTED, "rejected with " + facts.status());
             }
             case INVALID_RESPONSE -> {
@@ -272,15 +272,15 @@
             state.log().warn("target_replaced", "target", target.id(), "found", other.get());
             state.fleet().removeReplaced(target.id());
         } else {
-            target.onRejected(state.now());
+            target.onRejected(state.nowMillis());
         }
         drop(AttemptOutcome.MISDIRECTED, other.isPresent() ? "another target" : "other weights");
     }
 
     @Override
     public void content(ByteBuf piece) {
-        if (attempt.piece(state.now())) {
-            state.fetchLateness().firstByte(attempt, state.directory(), state.now());
+        if (attempt.piece(state.nowMillis())) {
+            state.fetchLateness().firstByte(attempt, state.directory(), state.nowMillis());
             state.dispatchQueued(plan.service());
         }
         answer.content(piece);
@@ -294,7 +294,7 @@
         }
         answer.complete();
         Target target = attempt.target();
-        long now = state.now();
+        long now = state.nowMillis();
         if (answer.status() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code()) {
             target.recordFailure(0, now);
         } else {
@@ -345,16 +345,16 @@
 
     /** Returns whether a target is left that hasn't refused the request: asking one again at once is of no use. */
     private boolean isAnotherLeft() {
-        return state.fleet().activeTargets(plan.service(), state.now()).stream()
+        return state.fleet().activeTargets(plan.service(), state.nowMillis()).stream()
                 .anyMatch(target -> !tried.contains(target.id()));
     }
 
     /** Ends an attempt that failed. */
     private void closeAttempt(AttemptOutcome outcome, String reason) {
         Target target = attempt.target();
-        long after = state.now() - attempt.sentAt();
+        long after = state.nowMillis() - attempt.sentAt();
         if (outcome.mayHaveRun()) {
-            target.recordFailure(after, state.now());
+            target.recordFailure(after, state.nowMillis());
         }
         if (outcome == AttemptOutcome.BROKEN) {
             log.broken(target.id(), reason, after, answer.began(), quarantine.fingerprint());
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
@@ -126,7 +126,7 @@
                         "reason",
                         reason,
                         "ms",
-                        Long.toString(state.now() - plan.arrivedAt()),
+                        Long.toString(state.nowMillis() - plan.arrivedAt()),
                         "target",
                         attempt.map(sent -> sent.target().id()).orElse("none"),
                         "sent_after_ms",
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LineWait.java
@@ -27,7 +27,7 @@
      */
     void join(boolean letDown) {
         HoldingQueue<Exchange> line = state.holdingQueue(plan.service());
-        long now = state.now();
+        long now = state.nowMillis();
         long onTimeUntil = Math.max(now, plan.onTimeUntil());
         long lateUntil = letDown ? now + plan.route().objectiveMillis() : Math.max(now, plan.lateUntil());
         place = line.add(exchange, plan.rank(), plan.tokens(), onTimeUntil, lateUntil, plan.deadlineAt());
@@ -38,7 +38,7 @@
 
     /** The request can't be on time any more; it may wait on for a while, behind those that can. */
     private void late(long lateUntil) {
-        long millis = Math.max(1, lateUntil - state.now());
+        long millis = Math.max(1, lateUntil - state.nowMillis());
         expiry = state.loop().schedule(() -> state.expireQueue(plan.service()), millis, TimeUnit.MILLISECONDS);
         state.expireQueue(plan.service());
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OrderGiver.java
@@ -87,7 +87,7 @@
             // A record that can't be read takes up an offset too: the next append lands behind it.
             lease.advanceTo(record.offset() + 1);
             LeaseRecord read = store.readLease(record.value().orElseThrow());
-            long now = state.now();
+            long now = state.nowMillis();
             lease.onRecord(record.offset(), read, now);
             // Records from before the start say nothing of now: after a restart all engines would seem to load.
             if (caughtUp && !read.holder().equals(self)) {
@@ -132,7 +132,7 @@
             if (service.engine().isEmpty()) {
                 continue;
             }
-            List<Target> targets = state.fleet().activeTargets(service.name(), state.now());
+            List<Target> targets = state.fleet().activeTargets(service.name(), state.nowMillis());
             state.weights().models().forEach(model -> {
                 long newest = state.weights().newest(model);
                 List<Target> serving = targets.stream()
@@ -147,7 +147,7 @@
     }
 
     private void proceed(List<Work> work) {
-        long now = state.now();
+        long now = state.nowMillis();
         work.forEach(each -> look(each, now));
         if (appends.isBusy()) {
             return;
@@ -176,7 +176,7 @@
     /** Returns the requests at an engine: what it reported itself if it was asked lately, else what relays know. */
     private int inFlight(Target target) {
         Integer reported = reportedInFlight.get(target.id());
-        return reported != null && looks.containsKey(target.id()) ? reported : target.requests(state.now());
+        return reported != null && looks.containsKey(target.id()) ? reported : target.requests(state.nowMillis());
     }
 
     private RolloutPlanner plan(Work work) {
@@ -185,7 +185,7 @@
 
     private void append(Map<Target, WeightsVersion> batch) {
         List<String> ids = batch.keySet().stream().map(Target::id).sorted().toList();
-        long sentAt = state.now();
+        long sentAt = state.nowMillis();
         long sentAtWall = System.currentTimeMillis();
         long at = lease.appendOffset();
         appends.call(
@@ -231,7 +231,7 @@
             Optional<EngineReport> report = report(answer);
             report.ifPresent(read -> note(target, read));
             boolean stale = report.isPresent() && target.weights(weights.model()) < weights.version();
-            long now = state.now();
+            long now = state.nowMillis();
             if (!stale || report.get().busy() || !lease.isHeld(now, System.currentTimeMillis())) {
                 line.close();
                 ordering.remove(target.id());
@@ -245,7 +245,7 @@
         LoadOrder order = new LoadOrder(
                 weights, state.settings().instance(), lease.fencingToken(), report.acceptedOrders(), target.id());
         RolloutPlanner plan = plans.get(target.registration().service() + "/" + weights.model());
-        long now = state.now();
+        long now = state.nowMillis();
         plan.onOrdered(target.id(), weights.version(), now);
         target.markLoadingWeights(now + SWAP_MILLIS);
         looks.put(target.id(), now + FIRST_LOOK_MILLIS);
@@ -267,10 +267,10 @@
             if (status == 0) {
                 // It may load at any time or never; until then it serves.
                 plan.onUnanswered(target.id());
-                target.markLoadingWeights(state.now());
+                target.markLoadingWeights(state.nowMillis());
             } else if (!state.platform().engines().isOrderAccepted(status)) {
                 plan.onRefused(target.id());
-                target.markLoadingWeights(state.now());
+                target.markLoadingWeights(state.nowMillis());
             }
             line.close();
             ordering.remove(target.id());
@@ -279,7 +279,7 @@
 
     /** Returns the engines that were ordered by this relay and don't serve their new weights yet. */
     List<String> loading() {
-        long now = state.now();
+        long now = state.nowMillis();
         return looks.keySet().stream()
                 .filter(id -> state.fleet()
                         .find(id)
@@ -308,7 +308,7 @@
                 if (report.isPresent() && !report.get().busy()) {
                     // Done, or never begun: the engine is free for the next order in either case.
                     plan(work).onRefused(target.id());
-                    target.markLoadingWeights(state.now());
+                    target.markLoadingWeights(state.nowMillis());
                 }
                 state.log()
                         .info(
@@ -331,7 +331,7 @@
 
     private void note(Target target, EngineReport report) {
         reportedInFlight.put(target.id(), report.inFlight());
-        report.weights().forEach(each -> target.confirmWeights(each.model(), each.version(), state.now()));
+        report.weights().forEach(each -> target.confirmWeights(each.model(), each.version(), state.nowMillis()));
     }
 
     private Optional<EngineReport> report(CallAnswer answer) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -176,7 +176,7 @@
     }
 
     private void tell() {
-        long now = state.now();
+        long now = state.nowMillis();
         state.fetchLateness().nextRound();
         shareTargets(now);
         List<ReportSchedule.Due> due = schedule.nextRound(now);
@@ -229,7 +229,7 @@
     }
 
     private List<String> listening(Set<String> relays) {
-        long now = state.now();
+        long now = state.nowMillis();
         return relays.stream().filter(relay -> schedule.isLive(relay, now)).toList();
     }
 
@@ -245,7 +245,7 @@
     }
 
     private List<TargetLoad> work() {
-        return state.fleet().all(state.now()).stream()
+        return state.fleet().all(state.nowMillis()).stream()
                 .filter(target ->
                         target.inFlight() > 0 && target.registration().weights().size() > 0)
                 .map(Target::ownLoad)
@@ -296,7 +296,7 @@
         }
 
         private void heard(String relay, LoadReport load) {
-            long now = state.now();
+            long now = state.nowMillis();
             schedule.onReport(relay, now);
             state.fleet().applyLoadReport(load, now);
             load.storeLateness().forEach(late -> state.directory().recordFetchLateness(late, now));
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineCheck.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineCheck.java
@@ -38,7 +38,9 @@
     /** Returns for how much longer the request is sent to no target, in ms; empty if it may be sent. */
     OptionalLong leftMillis() {
         Quarantine quarantine = state.quarantine();
-        return quarantine.isEmpty() ? OptionalLong.empty() : quarantine.remainingMillis(fingerprint(), state.now());
+        return quarantine.isEmpty()
+                ? OptionalLong.empty()
+                : quarantine.remainingMillis(fingerprint(), state.nowMillis());
     }
 
     /**
@@ -59,6 +61,6 @@
 
     /** Notes that a target has answered. */
     void answered() {
-        state.quarantine().onAnswered(fingerprint(), state.now());
+        state.quarantine().onAnswered(fingerprint(), state.nowMillis());
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
@@ -83,7 +83,7 @@
                 quarantined(quarantined.request());
             } else if (read instanceof QuarantineRecord.Released released) {
                 recorded.remove(record.key());
-                quarantine.onRecordRemoved(released.request(), state.now());
+                quarantine.onRecordRemoved(released.request(), state.nowMillis());
                 state.log()
                         .info(
                                 "request_released",
@@ -94,7 +94,7 @@
 
         private void crashed(QuarantineRecord.Crashed crashed, long offset) {
             if (offset < endAtStart) {
-                quarantine.onPastCrash(crashed.crash(), state.now());
+                quarantine.onPastCrash(crashed.crash(), state.nowMillis());
             } else if (!crashed.relay().equals(state.settings().instance())) {
                 note(crashed.crash(), false, crashed.relay());
             }
@@ -102,7 +102,7 @@
 
         private void quarantined(RequestFingerprint request) {
             boolean known = isQuarantined(request);
-            quarantine.onRecord(request, !listedOnce, state.now());
+            quarantine.onRecord(request, !listedOnce, state.nowMillis());
             logIfNew(request, known, "store");
         }
 
@@ -134,7 +134,7 @@
                                 .limit(FINGERPRINTS_LOGGED)
                                 .map(RequestFingerprint::toHex)
                                 .collect(Collectors.joining(",")));
-        Set<RequestFingerprint> suspects = quarantine.suspectable(requests, state.now());
+        Set<RequestFingerprint> suspects = quarantine.suspectable(requests, state.nowMillis());
         if (suspects.isEmpty()) {
             return;
         }
@@ -150,12 +150,12 @@
     private void note(TargetCrash crash, boolean seenHere, String by) {
         Set<RequestFingerprint> known =
                 crash.requests().stream().filter(this::isQuarantined).collect(Collectors.toSet());
-        quarantine.onCrash(crash, seenHere, state.now());
+        quarantine.onCrash(crash, seenHere, state.nowMillis());
         crash.requests().forEach(request -> logIfNew(request, known.contains(request), by));
     }
 
     private boolean isQuarantined(RequestFingerprint request) {
-        return quarantine.remainingMillis(request, state.now()).isPresent();
+        return quarantine.remainingMillis(request, state.nowMillis()).isPresent();
     }
 
     private void logIfNew(RequestFingerprint request, boolean known, String by) {
@@ -166,7 +166,7 @@
 
     /** Lets go what was held for long enough, and writes what the store still lacks; called every now and then. */
     void sweep() {
-        quarantine.expire(state.now());
+        quarantine.expire(state.nowMillis());
         write();
     }
 
@@ -194,7 +194,7 @@
             writtenTo = offset + records.size();
             unwritten.removeAll(crashes);
             unrecorded.forEach(quarantine::onRecordWritten);
-            outdated.forEach(request -> quarantine.onRecordRemoved(request, state.now()));
+            outdated.forEach(request -> quarantine.onRecordRemoved(request, state.nowMillis()));
             write();
         });
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -84,7 +84,7 @@
         EventLog log = new EventLog(Logger.getLogger(RelayProcess.class), new MonotonicClock());
         state = new RelayState(
                 settings, platform, loop, RelayChannels.connector(group), log, new RelayMetrics(), random);
-        pools = new TargetPools(state.connector(), loop, platform.requests(), state::now, new Reached());
+        pools = new TargetPools(state.connector(), loop, platform.requests(), state::nowMillis, new Reached());
         outdated = new OutdatedParts(state, stores);
         stop = new RelayStop(state, callers, this::sweep);
         gauges();
@@ -203,7 +203,7 @@
         private void named(WeightsVersion weights, long offset) {
             DesiredVersions versions = state.weights();
             boolean news = caughtUp
-                    ? versions.addDesired(weights.model(), weights.version(), state.now())
+                    ? versions.addDesired(weights.model(), weights.version(), state.nowMillis())
                     : versions.addFoundAtStart(weights.model(), weights.version());
             if (news) {
                 orders.wake();
@@ -271,7 +271,7 @@
     private final class Targets implements TopicFollower.Listener {
         @Override
         public void record(KeyedRecord record) {
-            long now = state.now();
+            long now = state.nowMillis();
             StoreDialect store = state.platform().store();
             Optional<TargetRegistration> before =
                     state.fleet().find(record.key()).map(Target::registration);
@@ -305,12 +305,12 @@
 
         @Override
         public void listed(Set<String> keys, long end) {
-            state.fleet().applyListing(keys, end, state.now());
+            state.fleet().applyListing(keys, end, state.nowMillis());
         }
 
         @Override
         public void answered() {
-            state.fleet().onLogAvailable(state.now());
+            state.fleet().onLogAvailable(state.nowMillis());
         }
 
         @Override
@@ -320,7 +320,7 @@
     }
 
     private void sweep() {
-        long now = state.now();
+        long now = state.nowMillis();
         state.eventLoopLag().onTaskRun(now);
         boolean closeIdle = state.isRefusingRequests();
         if (closeIdle && callersListening.isOpen()) {
@@ -345,7 +345,7 @@
     private boolean isReady() {
         return state.configuration().isPresent()
                 && !state.isDraining()
-                && !state.fleet().all(state.now()).isEmpty();
+                && !state.fleet().all(state.nowMillis()).isEmpty();
     }
 
     private StatusServer.Page metrics(String path) {
@@ -365,7 +365,7 @@
                 .gauge(
                         "rattanrudder_relay_targets",
                         "Targets that are known",
-                        () -> state.fleet().all(state.now()).size());
+                        () -> state.fleet().all(state.nowMillis()).size());
         state.metrics()
                 .gauge(
                         "rattanrudder_relay_requests_suspected",
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -78,11 +78,11 @@
         relayHash = Hashing.of(settings.instance());
         placementBroadcaster = new WorkNews(loop);
         crashDetector = new CrashDetector(loop);
-        eventLoopLag = new EventLoopLag(now(), RelayProcess.SWEEP_MILLIS);
+        eventLoopLag = new EventLoopLag(nowMillis(), RelayProcess.SWEEP_MILLIS);
     }
 
     /** Returns milliseconds of a steady clock. */
-    long now() {
+    long nowMillis() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
@@ -197,7 +197,7 @@
     /** Lets requests that can't be on time go behind the others, and refuses those that would wait too long. */
     void expireQueue(String service) {
         HoldingQueue<Exchange> line = holdingQueue(service);
-        long now = now();
+        long now = nowMillis();
         long allowed =
                 HoldingQueue.maxLateTokens(fleet.activeTargets(service, now).size(), relayCount(now));
         line.expire(now, allowed).forEach(refused -> refused.request().refuseFromLine());
@@ -223,7 +223,7 @@
 
     /** Takes a further send of a service's request from the retry budget; false if none is left. */
     boolean tryAcquireRetry(String service) {
-        long now = now();
+        long now = nowMillis();
         return retryBudget(service).tryAcquire(relayCount(now), now);
     }
 
@@ -242,12 +242,12 @@
 
     /** Returns whether new requests are refused, since they might not end before the process does. */
     boolean isRefusingRequests() {
-        return isDraining && now() - drainingSince > ShutdownPolicy.callerDrainMillis(graceMillis());
+        return isDraining && nowMillis() - drainingSince > ShutdownPolicy.callerDrainMillis(graceMillis());
     }
 
     /** Returns whether a request on the route is still taken. */
     boolean accepts(ServiceRoute route) {
-        return !isStopping || ShutdownPolicy.accepts(route, now() - stoppingSince, graceMillis());
+        return !isStopping || ShutdownPolicy.accepts(route, nowMillis() - stoppingSince, graceMillis());
     }
 
     /** Returns whether the process was asked to stop. */
@@ -263,7 +263,7 @@
     /** Notes that the process was asked to stop; it still takes requests until {@link #drain}. */
     void stop() {
         isStopping = true;
-        stoppingSince = now();
+        stoppingSince = nowMillis();
         graceAtStop = settings.bounds().graceMillis();
     }
 
@@ -274,6 +274,6 @@
 
     void drain() {
         isDraining = true;
-        drainingSince = now();
+        drainingSince = nowMillis();
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
@@ -40,9 +40,9 @@
 
     /** Takes readiness back, unless no other relay is ready and there is time to wait for one. */
     private void leave() {
-        long waited = state.now() - state.stoppingSince();
+        long waited = state.nowMillis() - state.stoppingSince();
         if (waited < ShutdownPolicy.readinessHoldMillis(graceMillis())
-                && !state.fleet().anyPeerReady(state.now())) {
+                && !state.fleet().anyPeerReady(state.nowMillis())) {
             state.loop().schedule(this::leave, STAY_STEP_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -114,7 +114,7 @@
     }
 
     long left() {
-        return deadlineAt - state.now();
+        return deadlineAt - state.nowMillis();
     }
 
     /** Returns what is the same whenever the request comes. */
@@ -190,7 +190,7 @@
                                 weights.get()
                                         >= state.weights().newest(facts.model().get()),
                                 route.objectiveMillis(),
-                                state.now())
+                                state.nowMillis())
                 : PartPlan.NONE;
         if (engine.isPresent()) {
             noteParts(target, salt, parts);
@@ -217,7 +217,7 @@
         if (engine.isEmpty()) {
             return OptionalInt.empty();
         }
-        return OptionalInt.of(state.now() <= onTimeUntil() ? ON_TIME_RANK : LATE_RANK);
+        return OptionalInt.of(state.nowMillis() <= onTimeUntil() ? ON_TIME_RANK : LATE_RANK);
     }
 
     private void noteParts(Target target, Optional<String> salt, PartPlan parts) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/SilenceWatch.java
@@ -37,7 +37,7 @@
 
     /** Looks now, and again whenever the target could have been silent for too long. */
     void look() {
-        long quiet = state.now() - attempt.lastPieceAt();
+        long quiet = state.nowMillis() - attempt.lastPieceAt();
         boolean gone = attempt.target().isUnreachable();
         long limit = ResponseTimeouts.timeoutMillis(route, attempt.hasBegun(), gone);
         boolean servesOthers = attempt.target().lastActivityAt() > attempt.lastPieceAt();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
@@ -61,7 +61,7 @@
         if (line.isBusy()) {
             return;
         }
-        long asked = state.now();
+        long asked = state.nowMillis();
         long wait = behind ? CATCH_UP_MILLIS : WAIT_MILLIS;
         line.call(dialect.pollChanges(since, wait), TIMEOUT_MILLIS, answer -> {
             Optional<StoreUpdate> news = read(answer, true);
@@ -85,13 +85,13 @@
             timer.next(this::ask, 0);
             return;
         }
-        state.directory().applyStoreUpdate(address, news, asked, state.now());
+        state.directory().applyStoreUpdate(address, news, asked, state.nowMillis());
         if (news.events().size() <= TOLD_EVENTS) {
-            tell.accept(new SharedStoreUpdate(address, since, news, state.now() - asked));
+            tell.accept(new SharedStoreUpdate(address, since, news, state.nowMillis() - asked));
         }
         behind = false;
         since = news.next();
-        boolean due = state.now() - listedAt > LISTING_EVERY_MILLIS;
+        boolean due = state.nowMillis() - listedAt > LISTING_EVERY_MILLIS;
         if (news.lost() && due && (first || !restarted)) {
             list();
             return;
@@ -111,22 +111,22 @@
             return;
         }
         regained();
-        long now = state.now();
+        long now = state.nowMillis();
         state.directory().applyStoreUpdate(address, shared.update(), now - shared.ageMillis(), now);
         since = Math.max(since, shared.update().next());
         askLater();
     }
 
     private void askLater() {
-        timer.next(this::ask, behind ? 0 : duty.pollDelayMillis(state.fleet().livePeers(state.now())));
+        timer.next(this::ask, behind ? 0 : duty.pollDelayMillis(state.fleet().livePeers(state.nowMillis())));
     }
 
     private void list() {
-        long asked = state.now();
+        long asked = state.nowMillis();
         listedAt = asked;
         line.call(dialect.listContents(), TIMEOUT_MILLIS, answer -> {
             read(answer, false).ifPresent(all -> {
-                state.directory().applyStoreUpdate(address, all, asked, state.now());
+                state.directory().applyStoreUpdate(address, all, asked, state.nowMillis());
                 since = all.next();
                 state.log()
                         .info(
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TopicFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TopicFollower.java
@@ -148,7 +148,7 @@
         inGap = false;
         following = true;
         long asked = from;
-        calledAt = state.now();
+        calledAt = state.nowMillis();
         long wait = waitMillis();
         line.call(
                 dialect.poll(topic, asked, wait),
@@ -207,7 +207,7 @@
             }
             tellAll(records.records());
             inGap = true;
-            answeredAt = state.now();
+            answeredAt = state.nowMillis();
             long gap = gap();
             gapEndsAt = answeredAt + gap;
             timer.next(this::follow, gap);
@@ -271,7 +271,7 @@
     }
 
     private long gap() {
-        return pace.gapMillis().applyAsLong(state.fleet().livePeerCount(state.now()));
+        return pace.gapMillis().applyAsLong(state.fleet().livePeerCount(state.nowMillis()));
     }
 
     /**
@@ -288,10 +288,10 @@
             return;
         }
         if (inGap) {
-            long now = state.now();
+            long now = state.nowMillis();
             long wanted = Pace.hintedGapMillis(state.fleet().livePeerCount(now));
             timer.next(this::follow, Math.max(0, Math.min(gapEndsAt, answeredAt + wanted) - now));
-        } else if (following && state.now() - calledAt > HINT_MILLIS) {
+        } else if (following && state.nowMillis() - calledAt > HINT_MILLIS) {
             state.log()
                     .warn(
                             "store_connection_silent",
@@ -322,7 +322,7 @@
      * it, and no engine got new weights meanwhile.
      */
     void readNow() {
-        expectingUntil = state.now() + EXPECTED_WITHIN_MILLIS;
+        expectingUntil = state.nowMillis() + EXPECTED_WITHIN_MILLIS;
         readInPlaceOfWaiting();
     }
 
