--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/WorkNews.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PlacementBroadcaster.java
@@ -14,7 +14,7 @@
  * <p>That work has ended is told with the next message of all work only: told at once, all relays would see the same
  * room and fill it together.
  */
-final class WorkNews {
+final class PlacementBroadcaster {
     /**
      * How long news are gathered, in ms: requests often come in groups, and a message costs each relay more than the
      * few bytes of another engine in it.
@@ -25,7 +25,7 @@
     private final Set<Target> changed = new LinkedHashSet<>();
     private Consumer<List<Target>> teller = unheard -> {};
 
-    WorkNews(EventLoop loop) {
+    PlacementBroadcaster(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -49,7 +49,7 @@
     private Optional<ServingConfiguration> configuration = Optional.empty();
     private final EventLoopLag eventLoopLag;
     private final long relayHash;
-    private final WorkNews placementBroadcaster;
+    private final PlacementBroadcaster placementBroadcaster;
     private final FetchNews fetchLateness = new FetchNews();
     private final CrashDetector crashDetector;
     private final Quarantine quarantine = new Quarantine();
@@ -76,7 +76,7 @@
         this.random = random;
         directory = new PartDirectory();
         relayHash = Hashing.of(settings.instance());
-        placementBroadcaster = new WorkNews(loop);
+        placementBroadcaster = new PlacementBroadcaster(loop);
         crashDetector = new CrashDetector(loop);
         eventLoopLag = new EventLoopLag(nowMillis(), RelayProcess.SWEEP_MILLIS);
     }
@@ -127,7 +127,7 @@
     }
 
     /** Returns what gathers news of work for the other relays. */
-    WorkNews placementBroadcaster() {
+    PlacementBroadcaster placementBroadcaster() {
         return placementBroadcaster;
     }
 
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/WorkNewsTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/WorkNewsTest.java
@@ -20,7 +20,7 @@
 
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final List<List<String>> told = new ArrayList<>();
-    private final WorkNews news = new WorkNews(channel.eventLoop());
+    private final PlacementBroadcaster news = new PlacementBroadcaster(channel.eventLoop());
 
     @BeforeEach
     void listen() {
