--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -174,7 +174,7 @@
         // It counts from now on: what is placed while its connection opens would all go to the same target.
         Target.RequestCost expected = plan.expectedWork();
         target.onSent(expected, state.nowMillis());
-        state.placementBroadcaster().placed(target);
+        state.placementBroadcaster().recordPlacement(target);
         pools.acquire(target, repeatable, opened -> {
             target.onEnded(expected, false);
             connected(target, opened);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PlacementBroadcaster.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PlacementBroadcaster.java
@@ -35,7 +35,7 @@
     }
 
     /** Notes that work was placed at a target. */
-    void placed(Target target) {
+    void recordPlacement(Target target) {
         if (target.registration().weights().isEmpty()) {
             return;
         }
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/WorkNewsTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/WorkNewsTest.java
@@ -40,10 +40,10 @@
     @Test
     void aPlacementIsToldAtOnceTogetherWithOthersOfThatMoment() {
         Target first = engine("i-1");
-        news.placed(first);
+        news.recordPlacement(first);
         pass(3);
-        news.placed(engine("i-2"));
-        news.placed(first);
+        news.recordPlacement(engine("i-2"));
+        news.recordPlacement(first);
         assertThat(told).isEmpty();
 
         pass(2);
@@ -55,9 +55,9 @@
 
     @Test
     void theNextMomentIsToldByItself() {
-        news.placed(engine("i-1"));
+        news.recordPlacement(engine("i-1"));
         pass(5);
-        news.placed(engine("i-2"));
+        news.recordPlacement(engine("i-2"));
         pass(5);
 
         assertThat(told).containsExactly(List.of("i-1"), List.of("i-2"));
@@ -66,7 +66,7 @@
     /** Servers of plain services say their load in each answer. */
     @Test
     void onlyEnginesAreTold() {
-        news.placed(KnownTargets.target("i-plain", Map.of(), NOW));
+        news.recordPlacement(KnownTargets.target("i-plain", Map.of(), NOW));
 
         pass(1_000);
 
