--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/FetchNews.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/FetchLatenessRecorder.java
@@ -16,7 +16,7 @@
  * Gathers how late this relay's fetches from each store were, for the other relays: one of many fetches too rarely to
  * notice in time that a store's link has turned slow.
  */
-final class FetchNews {
+final class FetchLatenessRecorder {
     /** Rounds that are kept: those that are told more rarely hear of the newest of them only. */
     private static final int MOST_ROUNDS = 64;
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -50,7 +50,7 @@
     private final EventLoopLag eventLoopLag;
     private final long relayHash;
     private final PlacementBroadcaster placementBroadcaster;
-    private final FetchNews fetchLateness = new FetchNews();
+    private final FetchLatenessRecorder fetchLateness = new FetchLatenessRecorder();
     private final CrashDetector crashDetector;
     private final Quarantine quarantine = new Quarantine();
     private boolean isDraining;
@@ -132,7 +132,7 @@
     }
 
     /** Returns what gathers news of fetches for the other relays. */
-    FetchNews fetchLateness() {
+    FetchLatenessRecorder fetchLateness() {
         return fetchLateness;
     }
 
