--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -280,7 +280,7 @@
     @Override
     public void content(ByteBuf piece) {
         if (attempt.piece(state.nowMillis())) {
-            state.fetchLateness().firstByte(attempt, state.directory(), state.nowMillis());
+            state.fetchLateness().recordFirstByte(attempt, state.directory(), state.nowMillis());
             state.dispatchQueued(plan.service());
         }
         answer.content(piece);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/FetchLatenessRecorder.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/FetchLatenessRecorder.java
@@ -27,7 +27,7 @@
      * Notes the first byte of an answer whose prompt may have been read from stores. Its lateness is laid to the store
      * of the largest part: that one takes the longest, and the others come meanwhile.
      */
-    void firstByte(TargetAttempt attempt, PartDirectory directory, long nowMillis) {
+    void recordFirstByte(TargetAttempt attempt, PartDirectory directory, long nowMillis) {
         double excess = attempt.firstPieceMillis() - attempt.outgoing().millisWithoutFetch();
         attempt.outgoing().forwarding().parts().sources().stream()
                 .flatMap(Optional::stream)
