--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -225,7 +225,7 @@
     }
 
     private void logDenied(ErrorKind error) {
-        state.metrics().request("none", error.wireName());
+        state.metrics().recordRequest("none", error.wireName());
         state.log()
                 .info(
                         "request_denied",
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -430,7 +430,7 @@
         }
         answer.discard();
         body.release();
-        state.metrics().request(plan.route().name(), outcome);
+        state.metrics().recordRequest(plan.route().name(), outcome);
         log.ended(outcome, reason, lastAttempt, load, runs, unrunSends);
         caller.exchangeEnded();
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayMetrics.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayMetrics.java
@@ -70,7 +70,7 @@
                 .register(registry);
     }
 
-    void request(String route, String outcome) {
+    void recordRequest(String route, String outcome) {
         requests.labelValues(route, outcome).inc();
     }
 
