--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -191,7 +191,8 @@
         if (opened == null) {
             log.failed(target.id(), AttemptOutcome.NOT_SENT, "unreachable", 0, answer.began());
             state.metrics()
-                    .attempt(plan.service(), AttemptOutcome.NOT_SENT.name().toLowerCase(Locale.ROOT));
+                    .recordAttempt(
+                            plan.service(), AttemptOutcome.NOT_SENT.name().toLowerCase(Locale.ROOT));
             goOn(AttemptOutcome.NOT_SENT, "unreachable");
             return;
         }
@@ -370,7 +371,7 @@
         attempt.end();
         attempt = null;
         answer.discard();
-        state.metrics().attempt(plan.service(), outcome);
+        state.metrics().recordAttempt(plan.service(), outcome);
         state.dispatchQueued(plan.service());
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayMetrics.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayMetrics.java
@@ -78,7 +78,7 @@
         firstByte.labelValues(route).observe(millis / MILLIS_PER_SECOND);
     }
 
-    void attempt(String service, String outcome) {
+    void recordAttempt(String service, String outcome) {
         attempts.labelValues(service, outcome).inc();
     }
 
