--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -71,7 +71,7 @@
                 caller,
                 state.platform().requests(),
                 plan.route().repeat(),
-                () -> state.metrics().firstByte(plan.route().name(), state.nowMillis() - plan.arrivedAt()));
+                () -> state.metrics().recordFirstByte(plan.route().name(), state.nowMillis() - plan.arrivedAt()));
         log = new ExchangeLog(state, plan);
         wait = new LineWait(state, plan, this, log);
         quarantine = new QuarantineCheck(state, plan, head.uri(), body);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayMetrics.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayMetrics.java
@@ -26,7 +26,7 @@
     private final Counter peerMessagesDropped;
     private final CounterDataPoint peerMessagesSent;
     private final CounterDataPoint peerMessagesReceived;
-    private final Histogram firstByte;
+    private final Histogram recordFirstByte;
 
     RelayMetrics() {
         requests =
@@ -49,7 +49,7 @@
                 counter("rattanrudder_relay_peer_messages", "Messages of and to other relays", "direction");
         peerMessagesSent = peerMessages.labelValues("sent");
         peerMessagesReceived = peerMessages.labelValues("received");
-        firstByte = Histogram.builder()
+        recordFirstByte = Histogram.builder()
                 .name("rattanrudder_relay_first_byte_seconds")
                 .help("Time from a request's arrival to the first byte of its answer")
                 .labelNames("route")
@@ -74,8 +74,8 @@
         requests.labelValues(route, outcome).inc();
     }
 
-    void firstByte(String route, long millis) {
-        firstByte.labelValues(route).observe(millis / MILLIS_PER_SECOND);
+    void recordFirstByte(String route, long millis) {
+        recordFirstByte.labelValues(route).observe(millis / MILLIS_PER_SECOND);
     }
 
     void recordAttempt(String service, String outcome) {
