--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayMetrics.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayMetrics.java
@@ -22,7 +22,7 @@
     private final Counter storeCalls;
     private final Counter unreadable;
     private final Counter targetsCrashed;
-    private final Counter parts;
+    private final Counter recordParts;
     private final Counter peerMessagesDropped;
     private final CounterDataPoint peerMessagesSent;
     private final CounterDataPoint peerMessagesReceived;
@@ -40,7 +40,8 @@
                 "topic");
         targetsCrashed = counter(
                 "rattanrudder_relay_targets_crashed", "Targets that ended in the middle of requests", "service");
-        parts = counter("rattanrudder_relay_parts", "Shared parts of prompts, by what was planned for them", "plan");
+        recordParts =
+                counter("rattanrudder_relay_parts", "Shared parts of prompts, by what was planned for them", "plan");
         peerMessagesDropped = counter(
                 "rattanrudder_relay_peer_messages_dropped",
                 "Messages of unknown senders or in a form that couldn't be read",
@@ -106,9 +107,9 @@
         peerMessagesDropped.labelValues(reason).inc();
     }
 
-    void parts(String plan, int count) {
+    void recordParts(String plan, int count) {
         if (count > 0) {
-            parts.labelValues(plan).inc(count);
+            recordParts.labelValues(plan).inc(count);
         }
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -223,8 +223,8 @@
     private void noteParts(Target target, Optional<String> salt, PartPlan parts) {
         int read = count(parts.sources());
         int saved = count(parts.destinations());
-        state.metrics().parts("read", read);
-        state.metrics().parts("saved", saved);
+        state.metrics().recordParts("read", read);
+        state.metrics().recordParts("saved", saved);
         state.log()
                 .info(
                         "request_sent",
