--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/RelayStart.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/RelayStart.java
@@ -58,7 +58,7 @@
     private static List<String> readAgain(RelayProcess relay, String text) {
         ParseResult<RelaySettings> result = new RelaySettingsParser().parse(text);
         if (result instanceof ParseResult.Accepted<RelaySettings> accepted) {
-            relay.settingsRead(accepted.value());
+            relay.applySettings(accepted.value());
         }
         return ParseResult.problems(result);
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -390,7 +390,7 @@
     }
 
     /** Takes over what may change while a relay runs from settings that were read again. */
-    public void settingsRead(RelaySettings read) {
+    public void applySettings(RelaySettings read) {
         loop.execute(() -> {
             Address before = state.store();
             state.settingsRead(read);
