--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -393,7 +393,7 @@
     public void applySettings(RelaySettings read) {
         loop.execute(() -> {
             Address before = state.store();
-            state.settingsRead(read);
+            state.applySettings(read);
             if (!state.store().equals(before)) {
                 wishes.reconnect();
                 targets.reconnect();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -101,7 +101,7 @@
     }
 
     /** Takes over what may change while a relay runs. */
-    void settingsRead(RelaySettings read) {
+    void applySettings(RelaySettings read) {
         settings = settings.takeOver(read);
         RelaySettings.Bounds bounds = settings.bounds();
         allowances
