--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/DialTimeout.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/DialTimeout.java
@@ -1,30 +1,31 @@
 package org.rattanrudder.core.fleet;
 
 /**
- * How long a request waits for a connection to open.
+ * Adaptive timeout for opening a connection on behalf of a request.
  *
- * <p>Healthy targets are a few ms away. A relay on a squeezed link or processor sees all of them answer late; it
- * must not take them all for lost, so it waits a multiple of what its dials that opened took lately.
+ * <p>Healthy targets are a few ms away. A relay whose link or processor is overloaded sees all of them connect slowly
+ * and must not treat them all as unreachable, so the timeout is a multiple of the average time of recent successful
+ * dials.
  */
 public final class DialTimeout {
-    /** The least time that a request waits, in ms: far regions answer within twenty. */
-    static final long LEAST_MILLIS = 100;
+    /** Minimum timeout: targets in distant regions connect within 20 ms. */
+    static final long MIN_MILLIS = 100;
 
-    /** The most, in ms: a dial whose first packet was lost is repeated after a second; another target is sooner. */
+    /** Maximum timeout: TCP retransmits a lost first packet only after a second, so trying another target is faster. */
     public static final long MAX_MILLIS = 400;
 
     private static final double SAMPLE_WEIGHT = 0.2;
-    private static final double MULTIPLE = 4;
+    private static final double DIAL_TIME_MULTIPLE = 4;
 
-    private double usualMillis;
+    private double averageMillis;
 
-    /** Notes how long a dial took that opened, in ms. */
+    /** Records how long a successful dial took. */
     public void recordOpened(long tookMillis) {
-        usualMillis += SAMPLE_WEIGHT * (tookMillis - usualMillis);
+        averageMillis += SAMPLE_WEIGHT * (tookMillis - averageMillis);
     }
 
-    /** Returns how long a request waits for a dial, in ms. */
+    /** Returns the current timeout. */
     public long millis() {
-        return Math.max(LEAST_MILLIS, Math.min(MAX_MILLIS, (long) (MULTIPLE * usualMillis)));
+        return Math.max(MIN_MILLIS, Math.min(MAX_MILLIS, (long) (DIAL_TIME_MULTIPLE * averageMillis)));
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Fleet.java
@@ -12,65 +12,75 @@
 import org.rattanrudder.core.fleet.LoadReport.ServedWeights;
 
 /**
- * The targets that are known, from a keyed log of their entries.
+ * Registry of the known targets, built from a keyed log of their registrations.
  *
- * <p>A record is believed only if it is newer, by the target's start and its offset, than what is known of its target:
- * after trouble the log's readers may be shown an older state for a while. An entry that lapsed while the log was away
- * says nothing of its target, which couldn't renew it; it is kept until the target had time to register again.
+ * <p>A record is applied only if it is newer than the last one of its target, by the target's start time and then by
+ * log offset: after an outage the log may return an older state for a while. A registration that expired while the log
+ * was unavailable doesn't mean that its target is down, since the target couldn't renew it; it is kept until the target
+ * has had time to register again.
  *
  * <pre>{@code
- * fleet.apply(id, Optional.of(entry), offset, now);
- * List<Target> targets = fleet.of("palivo-llm", now);
+ * fleet.apply(id, Optional.of(registration), offset, now);
+ * List<Target> targets = fleet.activeTargets("palivo-llm", now);
  * }</pre>
  */
 public final class Fleet {
     /**
-     * How long after the log's return a lapsed entry is kept, in ms: targets register again within about two seconds of
-     * it, and a record takes some hundred ms to be read.
+     * How long expired registrations are kept after the log has recovered: targets register again within about two
+     * seconds, and reading a record takes some hundred ms.
      */
-    public static final long RETURN_GRACE_MILLIS = 2_500;
+    public static final long LOG_RECOVERY_GRACE_MILLIS = 2_500;
 
-    /** How long a target that a relay said to be loading is left alone, in ms: some of its messages may be lost. */
-    public static final long LOADING_TOLD_MILLIS = 1_000;
+    /**
+     * How long a target is treated as loading weights after a peer reported it. It spans several reports, since some
+     * may be lost.
+     */
+    public static final long LOADING_REPORT_VALID_MILLIS = 1_000;
 
     private final Map<String, Target> targets = new LinkedHashMap<>();
-    private final Map<String, Seen> newest = new HashMap<>();
-    private final Map<String, Long> lapsed = new HashMap<>();
-    private final PeerLoads livePeerCount = new PeerLoads();
+    private final Map<String, RecordPosition> newestRecords = new HashMap<>();
+    private final Map<String, Long> expired = new HashMap<>();
+    private final PeerLoads peers = new PeerLoads();
     private final TargetSharing sharing = new TargetSharing();
 
-    /** Not at the start: who has seen no loss would hold back removals that were made while the log was there. */
-    private boolean logAway;
+    /**
+     * False at startup: a relay that has seen no outage must not delay removals that were made while the log was
+     * available.
+     */
+    private boolean logUnavailable;
 
-    private long logReturnedAt = Long.MIN_VALUE / 2;
+    private long logRecoveredAt = Long.MIN_VALUE / 2;
 
     /**
-     * The newest that was read of a target.
+     * Position of the newest record that was read of a target.
      *
-     * @param startedAt its start
-     * @param offset of its record
+     * @param startedAt the target's start time
+     * @param offset the record's log offset
      */
-    private record Seen(long startedAt, long offset) {
-        private static final Seen NOTHING = new Seen(TargetRegistration.START_UNKNOWN, -1);
+    private record RecordPosition(long startedAt, long offset) {
+        private static final RecordPosition NONE = new RecordPosition(TargetRegistration.START_UNKNOWN, -1);
     }
 
-    /** Notes that the log doesn't answer. */
+    /** Handles that the log has become unavailable. */
     public void onLogUnavailable() {
-        logAway = true;
+        logUnavailable = true;
     }
 
-    /** Notes that the log answers; only the first call after a loss counts as its return. */
+    /** Handles a response of the log. Only the first one after an outage counts as the log's recovery. */
     public void onLogAvailable(long nowMillis) {
-        if (logAway) {
-            logAway = false;
-            logReturnedAt = nowMillis;
+        if (logUnavailable) {
+            logUnavailable = false;
+            logRecoveredAt = nowMillis;
         }
     }
 
-    /** Takes a record of one target: its entry, or none if it was removed. Returns whether it was news. */
-    public boolean apply(String id, Optional<TargetRegistration> entry, long offset, long nowMillis) {
-        if (entry.isPresent()) {
-            return take(entry.get(), offset);
+    /**
+     * Applies a record of one target: its registration, or empty if it was removed. Returns whether the record was
+     * newer.
+     */
+    public boolean apply(String id, Optional<TargetRegistration> registration, long offset, long nowMillis) {
+        if (registration.isPresent()) {
+            return applyRegistration(registration.get(), offset);
         }
         if (!isNewer(id, offset)) {
             return false;
@@ -79,108 +89,115 @@
         return true;
     }
 
-    /** Notes a record of a target that can't be read: another writer's, which names nothing to send to. */
+    /**
+     * Removes a target whose newest record can't be parsed: it was written by another writer and has no address to send
+     * to.
+     */
     public void onUnreadableRecord(String id, long offset) {
         if (isNewer(id, offset)) {
             removeReplaced(id);
         }
     }
 
-    /** Returns whether a record without a start is newer than what is known of its target, and notes it. */
+    /**
+     * Returns whether a record without a start time is newer than the last one of its target, and remembers its offset.
+     */
     private boolean isNewer(String id, long offset) {
-        Seen seen = newest.getOrDefault(id, Seen.NOTHING);
-        newest.put(id, new Seen(seen.startedAt(), Math.max(seen.offset(), offset)));
-        return offset > seen.offset();
+        RecordPosition position = newestRecords.getOrDefault(id, RecordPosition.NONE);
+        newestRecords.put(id, new RecordPosition(position.startedAt(), Math.max(position.offset(), offset)));
+        return offset > position.offset();
     }
 
     /**
-     * Takes a target's entry. A target may start again under its id, and then holds nothing of before: load, outcomes,
-     * connections and weights that were seen at the start before say nothing of it, so it is another target here. What
-     * an earlier start said may be written, or read, later than what the newer one says, and changes nothing.
+     * Applies a registration. A target that restarts under the same id has lost its load, connections and weights, and
+     * its earlier outcomes don't apply to it, so it is replaced by a new {@code Target}. A record of an earlier start
+     * may be written or read after one of the newer start and is ignored.
      */
-    private boolean take(TargetRegistration entry, long offset) {
-        Seen seen = newest.getOrDefault(entry.id(), Seen.NOTHING);
-        boolean startedAgain = entry.startedAt() > seen.startedAt();
-        if (entry.startedAt() < seen.startedAt() || (!startedAgain && offset <= seen.offset())) {
+    private boolean applyRegistration(TargetRegistration registration, long offset) {
+        RecordPosition position = newestRecords.getOrDefault(registration.id(), RecordPosition.NONE);
+        boolean restarted = registration.startedAt() > position.startedAt();
+        if (registration.startedAt() < position.startedAt() || (!restarted && offset <= position.offset())) {
             return false;
         }
-        newest.put(entry.id(), new Seen(entry.startedAt(), offset));
-        lapsed.remove(entry.id());
-        Target target = targets.get(entry.id());
-        if (target == null || startedAgain) {
-            targets.put(entry.id(), new Target(entry, livePeerCount, sharing));
+        newestRecords.put(registration.id(), new RecordPosition(registration.startedAt(), offset));
+        expired.remove(registration.id());
+        Target target = targets.get(registration.id());
+        if (target == null || restarted) {
+            targets.put(registration.id(), new Target(registration, peers, sharing));
         } else {
-            target.update(entry);
+            target.update(registration);
         }
         return true;
     }
 
-    /** Takes a full listing: targets that it lacks are gone, unless they are newer than the listing. */
+    /**
+     * Applies a full listing: removes targets that aren't listed, unless their last record is newer than the listing.
+     */
     public void applyListing(Set<String> present, long end, long nowMillis) {
         for (String id : List.copyOf(targets.keySet())) {
-            if (!present.contains(id) && newest.get(id).offset() < end) {
+            if (!present.contains(id) && newestRecords.get(id).offset() < end) {
                 remove(id, nowMillis);
             }
         }
     }
 
-    /** Notes that a target isn't there any more: another one answered at its address. */
+    /** Removes a target at whose address another target responded. */
     public void removeReplaced(String id) {
         targets.remove(id);
-        lapsed.remove(id);
+        expired.remove(id);
     }
 
-    /** Returns all targets, leaving ones too. */
+    /** Returns all targets, including draining ones. */
     public Collection<Target> all(long nowMillis) {
-        dropLapsed(nowMillis);
+        removeExpired(nowMillis);
         return targets.values();
     }
 
     /**
-     * Takes the relays that are there, which share the targets among them; until then this one shares all.
+     * Sets the relays that share the targets. Until the first call this relay shares all targets.
      *
      * @param self this relay's name
-     * @param domains the failure domain of each relay by its name, of this one too
+     * @param domains the failure domain of each relay by name, including this one
      */
     public void updateRelays(String self, Map<String, String> domains) {
-        sharing.relays(self, domains);
+        sharing.updateRelays(self, domains);
     }
 
-    /** Takes what another relay says of its work. */
-    public void applyLoadReport(LoadReport load, long nowMillis) {
-        livePeerCount.heard(load, nowMillis);
-        load.loading()
-                .forEach(
-                        id -> find(id).ifPresent(target -> target.markLoadingWeights(nowMillis + LOADING_TOLD_MILLIS)));
-        for (ServedWeights served : load.served()) {
+    /** Applies the load report of a peer. */
+    public void applyLoadReport(LoadReport report, long nowMillis) {
+        peers.apply(report, nowMillis);
+        report.loading()
+                .forEach(id -> find(id).ifPresent(
+                                target -> target.markLoadingWeights(nowMillis + LOADING_REPORT_VALID_MILLIS)));
+        for (ServedWeights served : report.served()) {
             find(served.target())
                     .ifPresent(target -> target.confirmWeights(served.model(), served.version(), nowMillis));
         }
     }
 
-    /** Returns whether another relay takes new connections, as far as known. */
+    /** Returns whether any live peer accepts new connections. */
     public boolean anyPeerReady(long nowMillis) {
-        return livePeerCount.anyReady(nowMillis);
+        return peers.anyReady(nowMillis);
     }
 
-    /** Returns the other relays that were heard of lately. */
+    /** Returns the names of the peers whose last load report is fresh. */
     public Set<String> livePeers(long nowMillis) {
-        return livePeerCount.relays(nowMillis);
+        return peers.livePeers(nowMillis);
     }
 
-    /** Returns how many other relays were heard of lately. */
+    /** Returns how many peers have a fresh load report. */
     public int livePeerCount(long nowMillis) {
-        return livePeerCount.alive(nowMillis);
+        return peers.liveCount(nowMillis);
     }
 
-    /** Returns the target of an incarnation. */
+    /** Returns the target with the given id. */
     public Optional<Target> find(String id) {
         return Optional.ofNullable(targets.get(id));
     }
 
-    /** Returns the targets of a service that take new work. */
+    /** Returns the targets of a service that aren't draining. */
     public List<Target> activeTargets(String service, long nowMillis) {
-        dropLapsed(nowMillis);
+        removeExpired(nowMillis);
         List<Target> found = new ArrayList<>();
         for (Target target : targets.values()) {
             if (target.registration().service().equals(service)
@@ -192,30 +209,31 @@
     }
 
     /**
-     * Returns the targets that this relay can't reach, for the others to look at. A relay that reaches fewer than half
-     * of its targets is likely cut off itself, and says nothing: its word would have all others dial every target.
+     * Returns the targets that this relay can't reach, so that peers can probe them. A relay that can't reach more than
+     * half of its targets is probably cut off itself and returns none: its report would make every peer dial every
+     * target.
      */
     public List<String> unreachableTargets(long nowMillis) {
         Collection<Target> all = all(nowMillis);
-        List<String> lost =
+        List<String> unreachable =
                 all.stream().filter(Target::isUnreachable).map(Target::id).toList();
-        return 2 * lost.size() <= all.size() ? lost : List.of();
+        return 2 * unreachable.size() <= all.size() ? unreachable : List.of();
     }
 
     private void remove(String id, long nowMillis) {
-        if (logAway || nowMillis - logReturnedAt < RETURN_GRACE_MILLIS) {
-            lapsed.putIfAbsent(id, nowMillis);
+        if (logUnavailable || nowMillis - logRecoveredAt < LOG_RECOVERY_GRACE_MILLIS) {
+            expired.putIfAbsent(id, nowMillis);
             return;
         }
         targets.remove(id);
-        lapsed.remove(id);
+        expired.remove(id);
     }
 
-    private void dropLapsed(long nowMillis) {
-        if (lapsed.isEmpty() || logAway || nowMillis - logReturnedAt < RETURN_GRACE_MILLIS) {
+    private void removeExpired(long nowMillis) {
+        if (expired.isEmpty() || logUnavailable || nowMillis - logRecoveredAt < LOG_RECOVERY_GRACE_MILLIS) {
             return;
         }
-        for (Iterator<String> ids = lapsed.keySet().iterator(); ids.hasNext(); ) {
+        for (Iterator<String> ids = expired.keySet().iterator(); ids.hasNext(); ) {
             targets.remove(ids.next());
             ids.remove();
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/HoldingQueue.java
@@ -8,28 +8,32 @@
 import java.util.function.Predicate;
 
 /**
- * Requests of one service that wait at the relay for an engine with room.
+ * Queue of the requests of one service that wait at the relay for an engine with free capacity.
  *
- * <p>Those that can still be on time go first, by rank and then by how little time they have; then the late ones, by
- * their deadlines. The late ones are bounded by the work that they are: what would wait longer is refused at once,
- * since an overloaded service that works off everything in order serves all of it late. So is what has waited there
- * for long: its caller would leave, or be held to its deadline, without a try.
+ * <p>Requests that can still meet their objective are dispatched first, by priority and then by remaining time; late
+ * requests follow, by priority and then by deadline. The total size of the late requests is bounded and requests beyond
+ * it are rejected at once, since an overloaded service that serves everything in order serves all of it late. Late
+ * requests that have waited for too long are rejected as well; otherwise their callers would leave, or reach their
+ * deadlines, without an attempt.
  *
- * @param <T> a request
+ * @param <T> the type of requests
  */
 public final class HoldingQueue<T> {
-    /** The part of the objective that a request waits to be on time; what is left must do for reading its prompt. */
+    /**
+     * The part of the objective that a request may wait and still be on time; the rest must suffice for the prefill of
+     * its prompt.
+     */
     public static final double ON_TIME_WAIT_RATIO = 0.5;
 
     /**
-     * How long a late request waits, as a multiple of the objective: its caller leaves at four times that, and one that
-     * is told sooner to come back may be on time then.
+     * How long a late request waits, as a multiple of the objective. Its caller leaves at four times the objective; if
+     * it is rejected sooner, its retry may be on time.
      */
     public static final double LATE_WAIT_RATIO = 2;
 
     /**
-     * Tokens of late requests that may wait for each engine, at all relays together: about two thirds of its memory, so
-     * that a late request waits for some hundred ms and not for its deadline.
+     * Tokens of late requests that may wait per engine, over all relays: about two thirds of an engine's memory, so
+     * that a late request waits for some hundred ms rather than until its deadline.
      */
     private static final long LATE_TOKENS_PER_ENGINE = 40_000;
 
@@ -42,33 +46,33 @@
                     .thenComparingLong(QueuedRequest::deadlineMillis)
                     .thenComparingLong(QueuedRequest::sequence));
     private long lateTokens;
-    private long numbers;
+    private long nextSequence;
 
-    /** Makes an empty line. */
+    /** Creates an empty queue. */
     public HoldingQueue() {}
 
     /**
-     * Returns the tokens of late requests that may wait at one relay. All relays wait for the same engines, so each has
-     * its share.
+     * Returns how many tokens of late requests may wait at one relay. All relays wait for the same engines, so each
+     * gets an equal share.
      *
-     * @param engines how many engines the service has
-     * @param relays how many relays wait for them, this one included
+     * @param engines the number of engines of the service
+     * @param relays the number of relays, including this one
      */
     public static long maxLateTokens(int engines, int relays) {
         return Math.max(1, engines) * LATE_TOKENS_PER_ENGINE / Math.max(1, relays);
     }
 
     /**
-     * A place in the line.
+     * A queued request with its deadlines.
      *
-     * @param request who waits
+     * @param request the request
      * @param priority its priority, 0 first
-     * @param tokens its size, in tokens
-     * @param onTimeUntilMillis when it must be sent to be on time
-     * @param lateUntilMillis how long it waits once it is late; it is refused then
-     * @param deadlineMillis when nobody waits for it any more
-     * @param sequence tells places apart
-     * @param <T> a request
+     * @param tokens its size in tokens
+     * @param onTimeUntilMillis when it must be sent at the latest to meet its objective
+     * @param lateUntilMillis when it is rejected once it is late
+     * @param deadlineMillis when its caller stops waiting
+     * @param sequence number that breaks ties
+     * @param <T> the type of requests
      */
     public record QueuedRequest<T>(
             T request,
@@ -79,23 +83,23 @@
             long deadlineMillis,
             long sequence) {}
 
-    /** Joins the line. */
+    /** Adds a request. */
     public QueuedRequest<T> add(
-            T request, int rank, int tokens, long onTimeUntilMillis, long lateUntilMillis, long deadlineMillis) {
-        QueuedRequest<T> place = new QueuedRequest<>(
-                request, rank, tokens, onTimeUntilMillis, lateUntilMillis, deadlineMillis, numbers++);
-        onTime.add(place);
-        return place;
+            T request, int priority, int tokens, long onTimeUntilMillis, long lateUntilMillis, long deadlineMillis) {
+        QueuedRequest<T> queued = new QueuedRequest<>(
+                request, priority, tokens, onTimeUntilMillis, lateUntilMillis, deadlineMillis, nextSequence++);
+        onTime.add(queued);
+        return queued;
     }
 
-    /** Leaves the line. */
-    public void remove(QueuedRequest<T> place) {
-        if (!onTime.remove(place) && late.remove(place)) {
-            lateTokens -= place.tokens();
+    /** Removes a request. */
+    public void remove(QueuedRequest<T> queued) {
+        if (!onTime.remove(queued) && late.remove(queued)) {
+            lateTokens -= queued.tokens();
         }
     }
 
-    /** Returns the place whose turn it is. */
+    /** Returns the request to dispatch next. */
     public Optional<QueuedRequest<T>> first() {
         if (!onTime.isEmpty()) {
             return Optional.of(onTime.first());
@@ -104,49 +108,49 @@
     }
 
     /**
-     * Offers requests in their order until one isn't taken.
+     * Dispatches requests in order until one can't be sent.
      *
-     * @param takes returns whether a request was sent; it must have left the line then
+     * @param dispatched returns whether a request was sent; it must have been removed from the queue then
      */
-    public void dispatchWhile(Predicate<T> takes) {
+    public void dispatchWhile(Predicate<T> dispatched) {
         Optional<QueuedRequest<T>> first = first();
-        while (first.isPresent() && takes.test(first.get().request())) {
+        while (first.isPresent() && dispatched.test(first.get().request())) {
             first = first();
         }
     }
 
     /**
-     * Moves requests that can't be on time any more behind the others, and returns those that can't wait there or have
-     * waited there for too long.
+     * Moves requests that can no longer be on time behind the others. Returns the ones to reject: those that exceed the
+     * bound on late requests, and those that were late for too long.
      *
-     * @param lateTokensAllowed the tokens of late requests that may wait
+     * @param maxLateTokens how many tokens of late requests may wait
      */
-    public List<QueuedRequest<T>> expire(long nowMillis, long lateTokensAllowed) {
-        List<QueuedRequest<T>> refused = new ArrayList<>(late.stream()
-                .filter(place -> place.lateUntilMillis() <= nowMillis)
+    public List<QueuedRequest<T>> expire(long nowMillis, long maxLateTokens) {
+        List<QueuedRequest<T>> rejected = new ArrayList<>(late.stream()
+                .filter(queued -> queued.lateUntilMillis() <= nowMillis)
                 .toList());
-        refused.forEach(this::remove);
+        rejected.forEach(this::remove);
         List<QueuedRequest<T>> expired = onTime.stream()
-                .filter(place -> place.onTimeUntilMillis() <= nowMillis)
+                .filter(queued -> queued.onTimeUntilMillis() <= nowMillis)
                 .toList();
-        for (QueuedRequest<T> place : expired) {
-            onTime.remove(place);
-            if (lateTokens + place.tokens() > lateTokensAllowed) {
-                refused.add(place);
+        for (QueuedRequest<T> queued : expired) {
+            onTime.remove(queued);
+            if (lateTokens + queued.tokens() > maxLateTokens) {
+                rejected.add(queued);
             } else {
-                late.add(place);
-                lateTokens += place.tokens();
+                late.add(queued);
+                lateTokens += queued.tokens();
             }
         }
-        return refused;
+        return rejected;
     }
 
-    /** Returns whether a place is among the late ones. */
-    public boolean isLate(QueuedRequest<T> place) {
-        return late.contains(place);
+    /** Returns whether a request is queued as late. */
+    public boolean isLate(QueuedRequest<T> queued) {
+        return late.contains(queued);
     }
 
-    /** Returns how many wait. */
+    /** Returns the number of queued requests. */
     public int size() {
         return onTime.size() + late.size();
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/LoadReport.java
@@ -4,20 +4,20 @@
 import org.rattanrudder.core.parts.StoreLateness;
 
 /**
- * The work that one relay has under way at the targets.
+ * The load that one relay has at the targets, as it reports it to its peers.
  *
  * @param relay the relay and its start
- * @param sequence increases with each message of the relay
- * @param full whether the targets are all that it has work at, or only those whose work has changed
- * @param targets the targets that it has work at
- * @param weights the newest versions of weights that it knows of
- * @param served targets that it lately saw serving other weights than before
- * @param loading targets that it has ordered to load weights, and that take no work meanwhile
- * @param unreachable targets to which it could open no connection lately
- * @param ready whether it takes new connections
- * @param readOffsets how far it has read the platform's records
- * @param storeLateness how late fetches from context stores were since it last told the same relay of all its work
- * @param intervalMillis the time until it next tells the same relay of all its work; 0 if only changed work is told
+ * @param sequence increases with each report of the relay
+ * @param full whether the targets are all those that it has requests at, or only those whose load has changed
+ * @param targets the load at each target
+ * @param weights the newest versions of weights that the relay knows
+ * @param served targets that recently switched to the given weights
+ * @param loading targets that the relay has ordered to load weights and that accept no requests meanwhile
+ * @param unreachable targets that the relay failed to connect to recently
+ * @param ready whether the relay accepts new connections
+ * @param readOffsets how far the relay has read the platform's logs
+ * @param storeLateness lateness of fetches from context stores since the last full report to the same peer
+ * @param intervalMillis the time until the next full report to the same peer; 0 in incremental reports
  */
 public record LoadReport(
         String relay,
@@ -32,7 +32,6 @@
         ReadOffsets readOffsets,
         List<StoreLateness> storeLateness,
         long intervalMillis) {
-    /** Takes copies of the lists. */
     public LoadReport {
         targets = List.copyOf(targets);
         weights = List.copyOf(weights);
@@ -42,7 +41,7 @@
         storeLateness = List.copyOf(storeLateness);
     }
 
-    /** Returns a message that tells of work, readiness and reading alone. */
+    /** Creates a report of load, readiness and read offsets only. */
     public static LoadReport ofTargets(
             String relay, long sequence, boolean whole, List<TargetLoad> targets, boolean ready, ReadOffsets readTo) {
         return new LoadReport(
@@ -50,7 +49,10 @@
                 0);
     }
 
-    /** Returns the same message for relays that are told this often, with how late fetches were meanwhile. */
+    /**
+     * Returns a copy for peers that get a full report at the given interval, with the lateness of fetches since the
+     * last one.
+     */
     public LoadReport withInterval(long millis, List<StoreLateness> newLate) {
         return new LoadReport(
                 relay,
@@ -68,48 +70,48 @@
     }
 
     /**
-     * How far a relay has read the platform's records.
+     * How far a relay has read the platform's logs.
      *
-     * @param desiredConfiguration the offset up to which it has read what operators want
-     * @param targetsChanged the offset after the last change of a target that matters: come, leaving, gone, other
-     *     weights
-     * @param quarantine the offset up to which it has read, or written, what is held against requests
+     * @param desiredConfiguration the offset up to which it has read the desired configuration
+     * @param targetsChanged the offset after the last relevant change of a target: added, draining, removed, or other
+     * weights
+     * @param quarantine the offset up to which it has read or written quarantine records
      */
     public record ReadOffsets(long desiredConfiguration, long targetsChanged, long quarantine) {}
 
     /**
      * The weights that a target serves.
      *
-     * @param target the target's incarnation
+     * @param target the target's id
      * @param model the model
-     * @param version its version
+     * @param version the version of the weights
      */
     public record ServedWeights(String target, String model, long version) {}
 
     /**
-     * A version of weights that was named.
+     * A desired version of weights.
      *
      * @param model the model
      * @param version the version
-     * @param ageMillis how long the relay has known of it
+     * @param ageMillis how long the relay has known the version
      */
     public record KnownWeights(String model, long version, long ageMillis) {}
 
     /**
-     * The work at one target.
+     * The load at one target.
      *
-     * @param target the target's incarnation
-     * @param requests how many requests
-     * @param tokens the memory that they take at most, in tokens
-     * @param pendingPrefillTokens the tokens of prompts that are yet to be read
+     * @param target the target's id
+     * @param requests the number of requests
+     * @param tokens the maximum memory that they need, in tokens
+     * @param pendingPrefillTokens the prompt tokens whose prefill is pending
      */
     public record TargetLoad(String target, int requests, long tokens, long pendingPrefillTokens) {
-        /** No work. */
+        /** Returns an empty load. */
         static TargetLoad none(String target) {
             return new TargetLoad(target, 0, 0, 0);
         }
 
-        /** Returns the work of both. */
+        /** Returns the sum of both loads. */
         TargetLoad plus(TargetLoad other) {
             return new TargetLoad(
                     target,
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/PeerLoads.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/PeerLoads.java
@@ -7,94 +7,99 @@
 import org.rattanrudder.core.fleet.LoadReport.TargetLoad;
 
 /**
- * What the other relays said of their work at the targets.
+ * The load that peers have reported at each target.
  *
- * <p>An engine's own report comes late and counts requests, not memory. What relays know of their own requests is
- * exact, so they tell each other: all of it at intervals, and at once what they have just sent, since relays that see
- * the same free engine would else fill it together.
+ * <p>An engine's own load figures are delayed and count requests rather than memory. Relays know their own requests
+ * exactly and send each other load reports: full ones at intervals, and incremental ones right after each dispatch,
+ * since relays that see the same idle engine would otherwise fill it together.
  */
 public final class PeerLoads {
     /**
-     * How long a relay's word counts at least, in ms: some messages may be lost, and a relay that died has no work. The
-     * word of one that tells rarely counts for some of its messages.
+     * Minimum time for which a report is valid: some reports may be lost, and the load of a relay that crashed is gone.
+     * Reports with a long interval are valid for several intervals.
      */
-    public static final long VALID_MILLIS = 2_000;
+    public static final long MIN_VALID_MILLIS = 2_000;
 
-    private static final int VALID_MESSAGES = 3;
+    private static final int VALID_INTERVALS = 3;
 
-    private final Map<String, Heard> relays = new HashMap<>();
+    private final Map<String, ReceivedReport> relays = new HashMap<>();
 
-    /** The work of all relays by target, as far as it was asked for since a part of it changed. */
+    /** Total load of all peers by target, cached until one of the summands changes. */
     private final Map<String, TargetLoad> sums = new HashMap<>();
 
-    private long forgottenAt = Long.MIN_VALUE;
+    private long staleRemovedAt = Long.MIN_VALUE;
 
-    private record Heard(
-            long atMillis, long sequence, boolean ready, long everyMillis, Map<String, TargetLoad> targets) {
+    private record ReceivedReport(
+            long receivedAtMillis, long sequence, boolean ready, long intervalMillis, Map<String, TargetLoad> targets) {
         boolean isValid(long nowMillis) {
-            return nowMillis - atMillis <= Math.max(VALID_MILLIS, VALID_MESSAGES * everyMillis);
+            return nowMillis - receivedAtMillis <= Math.max(MIN_VALID_MILLIS, VALID_INTERVALS * intervalMillis);
         }
     }
 
-    /** Takes a message; one that is older than what is known is dropped. */
-    public void heard(LoadReport load, long nowMillis) {
-        Heard known = relays.get(load.relay());
-        if (known != null && known.sequence() >= load.sequence()) {
+    /** Applies a load report; reports older than the last one of the same relay are dropped. */
+    public void apply(LoadReport report, long nowMillis) {
+        ReceivedReport previous = relays.get(report.relay());
+        if (previous != null && previous.sequence() >= report.sequence()) {
             return;
         }
-        if (load.full()) {
-            // Also what nobody has work at any more: targets come and go.
+        if (report.full()) {
+            // Also drops sums of targets that no peer has requests at any more.
             sums.clear();
         }
-        Map<String, TargetLoad> targets = load.full() || known == null ? new HashMap<>() : known.targets();
-        for (TargetLoad each : load.targets()) {
+        Map<String, TargetLoad> targets = report.full() || previous == null ? new HashMap<>() : previous.targets();
+        for (TargetLoad each : report.targets()) {
             targets.put(each.target(), each);
             sums.remove(each.target());
         }
-        long every = load.full() || known == null ? load.intervalMillis() : known.everyMillis();
-        relays.put(load.relay(), new Heard(nowMillis, load.sequence(), load.ready(), every, targets));
+        long intervalMillis = report.full() || previous == null ? report.intervalMillis() : previous.intervalMillis();
+        relays.put(
+                report.relay(),
+                new ReceivedReport(nowMillis, report.sequence(), report.ready(), intervalMillis, targets));
     }
 
-    /** Returns the other relays that were heard of lately. */
-    public Set<String> relays(long nowMillis) {
-        forget(nowMillis);
+    /** Returns the peers whose last report is fresh. */
+    public Set<String> livePeers(long nowMillis) {
+        removeStale(nowMillis);
         return Collections.unmodifiableSet(relays.keySet());
     }
 
-    /** Returns whether another relay takes new connections, as far as known. */
+    /** Returns whether any live peer accepts new connections. */
     public boolean anyReady(long nowMillis) {
-        forget(nowMillis);
-        return relays.values().stream().anyMatch(Heard::ready);
+        removeStale(nowMillis);
+        return relays.values().stream().anyMatch(ReceivedReport::ready);
     }
 
-    /** Returns how many other relays were heard of lately. */
-    public int alive(long nowMillis) {
-        forget(nowMillis);
+    /** Returns how many peers have a fresh report. */
+    public int liveCount(long nowMillis) {
+        removeStale(nowMillis);
         return relays.size();
     }
 
-    /** Returns the work of all other relays at a target. */
-    public TargetLoad at(String target, long nowMillis) {
-        forget(nowMillis);
+    /** Returns the total load of all peers at a target. */
+    public TargetLoad totalAt(String target, long nowMillis) {
+        removeStale(nowMillis);
         return sums.computeIfAbsent(target, this::sum);
     }
 
     private TargetLoad sum(String target) {
         TargetLoad sum = TargetLoad.none(target);
-        for (Heard heard : relays.values()) {
-            TargetLoad load = heard.targets().get(target);
+        for (ReceivedReport report : relays.values()) {
+            TargetLoad load = report.targets().get(target);
             sum = load == null ? sum : sum.plus(load);
         }
         return sum;
     }
 
-    /** Forgets relays that fell silent; a placement asks for each target, all within the same ms. */
-    private void forget(long nowMillis) {
-        if (nowMillis == forgottenAt) {
+    /**
+     * Removes peers whose report is stale. Skips calls within the same millisecond, since a placement calls it once per
+     * target.
+     */
+    private void removeStale(long nowMillis) {
+        if (nowMillis == staleRemovedAt) {
             return;
         }
-        forgottenAt = nowMillis;
-        if (relays.values().removeIf(heard -> !heard.isValid(nowMillis))) {
+        staleRemovedAt = nowMillis;
+        if (relays.values().removeIf(report -> !report.isValid(nowMillis))) {
             sums.clear();
         }
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Placement.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Placement.java
@@ -7,52 +7,56 @@
 import org.rattanrudder.core.routing.Hashing;
 
 /**
- * Picks the target with the least expected delay.
+ * Picks the target with the lowest expected delay.
  *
- * <p>All terms are milliseconds: work that waits before the request, slots that are shared with running requests,
- * memory that is short, recent lateness and failures, and what a connection to another failure domain costs. A target
- * that was tried before is taken only if no other is left.
+ * <p>All terms are in milliseconds: pending prefill, slots shared with running requests, memory shortage, recent
+ * lateness and failures, and the cost of a connection to another failure domain. A target that was tried before is
+ * chosen only if no other one is left.
  */
 public final class Placement {
-    /** Prompt tokens that an engine reads in a millisecond; the order of magnitude suffices to compare targets. */
+    /** Prompt tokens that an engine prefills per millisecond; the order of magnitude suffices to compare targets. */
     private static final double TOKENS_PER_MILLI = 100;
 
-    /** What a running request adds to each step of an engine, summed over a short answer, in ms. */
-    private static final double RUNNING_MILLIS = 2;
+    /** Delay that each running request adds to the steps of an engine, summed over a short response. */
+    private static final double MILLIS_PER_RUNNING_REQUEST = 2;
 
-    /** Delay per full set of slots of a plain service, in ms: the mean time of its calls. */
-    private static final double PLAIN_ROUND_MILLIS = 80;
+    /** Delay per full set of slots of a plain service: the mean duration of its calls. */
+    private static final double PLAIN_CALL_MILLIS = 80;
 
-    /** What a certain failure would cost, in ms of delay: the retry, and that the request may be lost. */
+    /** Delay equivalent of a certain failure: the retry, and the risk that the request is lost. */
     private static final double FAILURE_MILLIS = 1_500;
 
-    /** What another failure domain costs: its links are priced, but no caller should wait long to spare them. */
-    private static final double DOMAIN_MILLIS_PER_KILOTOKEN = 7;
+    /** Cost of another failure domain: its links are billed, but no caller should wait for long to avoid them. */
+    private static final double OTHER_DOMAIN_MILLIS_PER_KILOTOKEN = 7;
 
-    private static final double DOMAIN_MILLIS = 20;
+    private static final double OTHER_DOMAIN_MILLIS = 20;
 
-    /** What older weights cost: an answer on them is worth a fifth less, a fifth of the usual objective in ms. */
+    /** Cost of older weights: a response on them is worth a fifth less, so a fifth of the usual objective. */
     private static final double OLD_WEIGHTS_MILLIS = 80;
 
-    /** Memory above which requests are preempted soon; the rest is kept for output and late reports. */
-    private static final double MEMORY_SHARE = 0.9;
+    /**
+     * Share of an engine's memory above which requests are likely to be preempted; the rest is reserved for output and
+     * for load reports that are still under way.
+     */
+    private static final double MAX_MEMORY_SHARE = 0.9;
 
     private static final double MEMORY_SHORT_MILLIS = 400;
     private static final double PAUSED_MILLIS = 5_000;
-    private static final double SWAPPING_MILLIS = 3_000;
+    private static final double LOADING_WEIGHTS_MILLIS = 3_000;
     private static final double TRIED_MILLIS = 20_000;
 
-    /** What the engine that a context is hashed to saves: it may hold the context in its own memory, in ms. */
+    /** Advantage of the engine that a context is hashed to: it may still hold the context in its own memory. */
     private static final double AFFINITY_MILLIS = 12;
 
     /**
-     * What the engines that a relay is hashed to save it, in ms for each other relay, and at most. What others have
-     * sent is known up to some hundred ms late. Relays that all took the engine which seems least busy would overfill
-     * it together; each therefore has an order of its own among engines that are about as busy.
+     * Advantage of the engines that a relay is hashed to, per peer, with a maximum. The load sent by peers is known
+     * with a delay of up to some hundred ms, and relays that all picked the engine that seemed least busy would
+     * overfill it together. Each relay therefore has its own order of preference among engines that are about equally
+     * busy.
      */
-    private static final double OWN_ORDER_MILLIS = 2;
+    private static final double RELAY_PREFERENCE_MILLIS_PER_PEER = 2;
 
-    private static final double LARGEST_OWN_ORDER_MILLIS = 60;
+    private static final double MAX_RELAY_PREFERENCE_MILLIS = 60;
 
     private static final double UNIT = 0x1.0p-53;
     private static final int UNIT_SHIFT = 11;
@@ -60,21 +64,21 @@
     private Placement() {}
 
     /**
-     * A target and what decided for it.
+     * The chosen target.
      *
      * @param target the target
-     * @param expectedMillis the delay that is expected there
+     * @param expectedMillis the expected delay at the target
      * @param candidates how many targets were compared
      */
     public record Choice(Target target, double expectedMillis, int candidates) {}
 
-    /** Returns the best target; empty if the service has none that may begin the request. */
+    /** Returns the best target; empty if the service has none that may start the request. */
     public static Optional<Choice> choose(List<Target> targets, PlacementQuery query, long nowMillis) {
         Target best = null;
         double bestMillis = Double.MAX_VALUE;
         int candidates = 0;
         for (Target target : targets) {
-            if (!mayBegin(target, query)) {
+            if (!isEligible(target, query)) {
                 continue;
             }
             candidates++;
@@ -87,7 +91,7 @@
         return best == null ? Optional.empty() : Optional.of(new Choice(best, bestMillis, candidates));
     }
 
-    private static boolean mayBegin(Target target, PlacementQuery query) {
+    private static boolean isEligible(Target target, PlacementQuery query) {
         if (target.inFlight() >= query.connections()) {
             return false;
         }
@@ -100,7 +104,7 @@
                 : plainMillis(target, nowMillis);
         millis += target.firstByteExcess(nowMillis) + FAILURE_MILLIS * target.failureRatio(nowMillis);
         if (!target.registration().failureDomain().equals(query.failureDomain())) {
-            millis += DOMAIN_MILLIS + DOMAIN_MILLIS_PER_KILOTOKEN * query.tokens() / 1_000;
+            millis += OTHER_DOMAIN_MILLIS + OTHER_DOMAIN_MILLIS_PER_KILOTOKEN * query.tokens() / 1_000;
         }
         if (target.isPaused(nowMillis)) {
             millis += PAUSED_MILLIS;
@@ -113,22 +117,21 @@
 
     private static double plainMillis(Target target, long nowMillis) {
         int slots = Math.max(1, target.registration().slots());
-        double share =
-                (double) (target.inFlight() + target.othersLoad(nowMillis).requests()) / slots;
-        return PLAIN_ROUND_MILLIS * share * (share < 1 ? share : 2 * share);
+        double share = (double) (target.inFlight() + target.peerLoad(nowMillis).requests()) / slots;
+        return PLAIN_CALL_MILLIS * share * (share < 1 ? share : 2 * share);
     }
 
     private static double engineMillis(Target target, PlacementQuery query, EngineTraits engine, long nowMillis) {
-        TargetLoad others = target.othersLoad(nowMillis);
-        double millis = (target.waitingTokens() + others.pendingPrefillTokens()) / TOKENS_PER_MILLI
-                + RUNNING_MILLIS * (target.inFlight() + others.requests());
-        double memory = engine.capacityTokens() * MEMORY_SHARE;
-        long wanted = target.inFlightTokens() + others.tokens() + query.tokens();
+        TargetLoad peers = target.peerLoad(nowMillis);
+        double millis = (target.pendingPrefillTokens() + peers.pendingPrefillTokens()) / TOKENS_PER_MILLI
+                + MILLIS_PER_RUNNING_REQUEST * (target.inFlight() + peers.requests());
+        double memory = engine.capacityTokens() * MAX_MEMORY_SHARE;
+        long wanted = target.inFlightTokens() + peers.tokens() + query.tokens();
         if (wanted > memory) {
             millis += MEMORY_SHORT_MILLIS * wanted / memory;
         }
         if (target.isLoadingWeights(nowMillis)) {
-            millis += SWAPPING_MILLIS;
+            millis += LOADING_WEIGHTS_MILLIS;
         }
         if (query.model().isPresent() && target.weights(query.model().get()) < query.newestWeights()) {
             millis += OLD_WEIGHTS_MILLIS;
@@ -137,7 +140,7 @@
     }
 
     private static double affinity(Target target, PlacementQuery query) {
-        double own = Math.min(LARGEST_OWN_ORDER_MILLIS, OWN_ORDER_MILLIS * query.otherRelays());
+        double own = Math.min(MAX_RELAY_PREFERENCE_MILLIS, RELAY_PREFERENCE_MILLIS_PER_PEER * query.otherRelays());
         double context = query.affinity() == 0 ? 0 : AFFINITY_MILLIS;
         return own * uniform(query.relay(), target) + context * uniform(query.affinity(), target);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/PlacementQuery.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/PlacementQuery.java
@@ -5,20 +5,20 @@
 import org.rattanrudder.core.gateway.EngineTraits;
 
 /**
- * What a request needs of its target.
+ * What a request requires of its target.
  *
- * @param service the service that runs it
- * @param failureDomain where the gateway stands
+ * @param service the service of the request
+ * @param failureDomain the relay's failure domain
  * @param engine the service's engines; empty for plain services
  * @param model the model; empty for plain services
- * @param newestWeights the newest version of the model's weights that was named; 0 if none
- * @param oldestWeights the oldest version on which it may begin
- * @param tokens the memory that it takes at most, in tokens
+ * @param newestWeights the newest desired version of the model's weights; 0 if none
+ * @param oldestWeights the oldest version on which the request may start
+ * @param tokens the maximum memory that it needs, in tokens
  * @param affinity a hash of the context that it shares; 0 if none
- * @param relay a hash of the relay that sends it
+ * @param relay a hash of the sending relay
  * @param otherRelays how many other relays choose among the same targets
- * @param connections how many connections this relay may use at one target
- * @param tried incarnations that it was sent to before
+ * @param connections how many connections this relay may use per target
+ * @param tried ids of the targets that it was sent to before
  */
 public record PlacementQuery(
         String service,
@@ -33,7 +33,6 @@
         int otherRelays,
         int connections,
         Set<String> tried) {
-    /** Takes a copy of the incarnations. */
     public PlacementQuery {
         tried = Set.copyOf(tried);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/ReportSchedule.java
@@ -8,124 +8,123 @@
 import java.util.stream.Collectors;
 
 /**
- * Decides which other relays a relay tells of all its work, and when.
+ * Decides which peers a relay sends a full load report, and when.
  *
- * <p>Few relays are told in each round. Of many, those of the same failure domain hear more often than others, since
- * they choose among the same targets; and the more relays there are the rarer each is told, so that a relay sends about
- * as many messages in a fleet of any size. Those that are told rarely take turns.
+ * <p>In a small fleet every peer gets one each round. In a large one, peers in the same failure domain get reports more
+ * often than others, since they choose among the same targets. The interval grows with the number of peers, so that the
+ * number of messages per relay stays about constant, and peers with long intervals are spread evenly over the rounds.
  *
- * <p>Times are milliseconds of a steady clock.
+ * <p>Times are milliseconds of a monotonic clock.
  */
 public final class ReportSchedule {
-    /** The time between two rounds, in ms: the age of what others know of work that has ended. */
+    /** Interval between rounds: in a small fleet, the delay with which peers learn of finished requests. */
     public static final long ROUND_MILLIS = 100;
 
-    /** Up to so many other relays are told in each round. */
-    private static final int FEW = 8;
+    /** Up to this many peers get a report in each round. */
+    private static final int MAX_PEERS_EVERY_ROUND = 8;
 
-    private static final long NEAR_MILLIS = 200;
-    private static final long FAR_MILLIS = 800;
+    private static final long MIN_NEAR_INTERVAL_MILLIS = 200;
+    private static final long MIN_FAR_INTERVAL_MILLIS = 800;
 
-    /** What each relay of a group adds to the time between two messages to the same one, in ms: 50 a second at most. */
-    private static final long MILLIS_PER_RELAY = 20;
+    /** Interval per peer of a group, which limits the rate to 50 messages a second for each group. */
+    private static final long INTERVAL_MILLIS_PER_RELAY = 20;
 
     /**
-     * A relay that fell silent is told when its turn comes first after so many rounds. One that isn't heard of yet may
-     * have started just now, as all may after a loss of power: it has to be told before it tells.
+     * An unresponsive peer gets a report at its first turn after this many rounds. A peer that has never sent a report
+     * may have just started, as all of them do after a power failure, so it gets one at its first turn.
      */
-    private static final int SILENT_ROUNDS = 10;
+    private static final int UNRESPONSIVE_PEER_ROUNDS = 10;
 
-    /** How long after its last message a relay is taken to be there, in ms. */
-    public static final long SILENT_MILLIS = 5_000;
+    /** How long after its last report a peer counts as live. */
+    public static final long LIVE_MILLIS = 5_000;
 
-    private final Map<String, Other> others = new TreeMap<>();
+    private final Map<String, Peer> peers = new TreeMap<>();
     private long round;
 
-    private static final class Other {
+    private static final class Peer {
         private final String failureDomain;
         private final boolean near;
-        private long heardAt = Long.MIN_VALUE / 2;
-        private boolean told;
+        private long lastReportAt = Long.MIN_VALUE / 2;
+        private boolean reported;
 
-        Other(String failureDomain, boolean near) {
+        Peer(String failureDomain, boolean near) {
             this.failureDomain = failureDomain;
             this.near = near;
         }
     }
 
     /**
-     * Relays that are due in a round.
+     * Peers that are due in a round.
      *
      * @param relays their names
      * @param intervalMillis the time until they are due again
      * @param intervalRounds the same in rounds
      */
     public record Due(List<String> relays, long intervalMillis, int intervalRounds) {
-        /** Takes a copy of the names. */
         public Due {
             relays = List.copyOf(relays);
         }
     }
 
-    /** Makes the schedule of a relay that knows no other. */
+    /** Creates a schedule without peers. */
     public ReportSchedule() {}
 
-    /** Takes a relay that is registered, or its new failure domain. */
+    /** Adds a registered peer, or updates its failure domain. */
     public void addRelay(String relay, String failureDomain, boolean near) {
-        others.put(relay, new Other(failureDomain, near));
+        peers.put(relay, new Peer(failureDomain, near));
     }
 
-    /** Drops a relay that isn't registered any more. */
+    /** Removes a peer that is no longer registered. */
     public void removeRelay(String relay) {
-        others.remove(relay);
+        peers.remove(relay);
     }
 
-    /** Notes a message of a relay. */
+    /** Records a report of a peer. */
     public void onReport(String relay, long nowMillis) {
-        Other other = others.get(relay);
-        if (other != null) {
-            other.heardAt = nowMillis;
+        Peer peer = peers.get(relay);
+        if (peer != null) {
+            peer.lastReportAt = nowMillis;
         }
     }
 
-    /** Returns whether a relay was heard of lately: others are told nothing but in their turns. */
+    /** Returns whether the peer has sent a report recently. Peers that aren't live get no incremental reports. */
     public boolean isLive(String relay, long nowMillis) {
-        Other other = others.get(relay);
-        return other != null && nowMillis - other.heardAt <= SILENT_MILLIS;
+        Peer peer = peers.get(relay);
+        return peer != null && nowMillis - peer.lastReportAt <= LIVE_MILLIS;
     }
 
-    /** Returns the failure domains of the relays that were heard of lately, by name. */
+    /** Returns the failure domains of the live peers by name. */
     public Map<String, String> liveRelayDomains(long nowMillis) {
-        return others.entrySet().stream()
+        return peers.entrySet().stream()
                 .filter(entry -> isLive(entry.getKey(), nowMillis))
                 .collect(Collectors.toMap(Map.Entry::getKey, entry -> entry.getValue().failureDomain));
     }
 
-    /** Begins the next round and returns who is told, in groups that are told equally often; none is empty. */
+    /** Starts the next round and returns the peers that are due, grouped by interval, without empty groups. */
     public List<Due> nextRound(long nowMillis) {
-        List<Due> due = others.size() <= FEW
+        List<Due> due = peers.size() <= MAX_PEERS_EVERY_ROUND
                 ? List.of(due(any -> true, ROUND_MILLIS, 0, nowMillis))
                 : List.of(
-                        due(other -> other.near, NEAR_MILLIS, MILLIS_PER_RELAY, nowMillis),
-                        due(other -> !other.near, FAR_MILLIS, MILLIS_PER_RELAY, nowMillis));
+                        due(peer -> peer.near, MIN_NEAR_INTERVAL_MILLIS, INTERVAL_MILLIS_PER_RELAY, nowMillis),
+                        due(peer -> !peer.near, MIN_FAR_INTERVAL_MILLIS, INTERVAL_MILLIS_PER_RELAY, nowMillis));
         round++;
         return due.stream().filter(group -> !group.relays().isEmpty()).toList();
     }
 
-    private Due due(Predicate<Other> group, long leastMillis, long millisPerRelay, long nowMillis) {
-        List<String> names = others.entrySet().stream()
+    private Due due(Predicate<Peer> group, long minMillis, long millisPerRelay, long nowMillis) {
+        List<String> names = peers.entrySet().stream()
                 .filter(entry -> group.test(entry.getValue()))
                 .map(Map.Entry::getKey)
                 .toList();
-        long wanted = Math.max(leastMillis, millisPerRelay * names.size());
+        long wanted = Math.max(minMillis, millisPerRelay * names.size());
         int rounds = (int) ((wanted + ROUND_MILLIS - 1) / ROUND_MILLIS);
-        boolean silentOnesToo = round / rounds % Math.max(1, SILENT_ROUNDS / rounds) == 0;
+        boolean includeUnresponsive = round / rounds % Math.max(1, UNRESPONSIVE_PEER_ROUNDS / rounds) == 0;
         List<String> relays = new ArrayList<>();
         for (int index = (int) (round % rounds); index < names.size(); index += rounds) {
             String name = names.get(index);
-            Other other = others.get(name);
-            if (silentOnesToo || !other.told || isLive(name, nowMillis)) {
-                other.told = true;
+            Peer peer = peers.get(name);
+            if (includeUnresponsive || !peer.reported || isLive(name, nowMillis)) {
+                peer.reported = true;
                 relays.add(name);
             }
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/SendWindow.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/SendWindow.java
@@ -5,60 +5,64 @@
 import org.rattanrudder.core.gateway.EngineTraits;
 
 /**
- * Says whether an engine takes another request without making it wait long.
+ * Decides whether an engine can accept another request without queueing it for long.
  *
- * <p>What waits in an engine's own queue can't be put in another order any more, and its plan for cached parts ages.
- * Requests therefore wait at the relay, where the one that can still be on time goes first, and an engine holds just
- * enough to be busy until the next one reaches it.
+ * <p>Requests in an engine's own queue can't be reordered, and their fetch plans for cached parts become outdated.
+ * Requests therefore wait at the relay, which dispatches those first that can still be on time, and an engine holds
+ * just enough of them to be busy until the next one arrives.
  *
- * <p>A relay hears late of what others place at engines that it doesn't share. Those are open to it only if none that
- * it shares takes any work, and while they have much room left.
+ * <p>A relay learns with a delay about the requests that peers send to engines that it doesn't share. It uses those
+ * only if none of its shared engines accepts work, and only while they have ample room.
  */
 public final class SendWindow {
-    /** Prompt tokens that may wait at an engine: enough to keep it busy for a round trip. */
-    private static final long WAITING_TOKENS = 14_000;
+    /** Prompt tokens that may await prefill at an engine: enough to keep it busy for a round trip. */
+    private static final long MAX_PREFILL_TOKENS = 14_000;
 
     /**
-     * The part of an engine's memory that requests fill which can be on time. It is over 1 since parts that requests
-     * share are counted once for each.
+     * Share of an engine's memory that on-time requests may fill. Above 1, since parts that requests share are counted
+     * once per request.
      */
-    private static final double MEMORY_SHARE = 1.15;
+    private static final double MAX_MEMORY_SHARE = 1.15;
 
-    /** The part of it that late requests and those of other sharers fill: others find room at once. */
-    private static final double MODEST_MEMORY_SHARE = 0.75;
+    /**
+     * Share of memory that late requests, and requests to unshared engines, may fill: on-time requests of the sharing
+     * relays then find room at once.
+     */
+    private static final double CONSERVATIVE_MAX_MEMORY_SHARE = 0.75;
 
-    private static final long MODEST_WAITING_TOKENS = 6_000;
+    private static final long CONSERVATIVE_MAX_PREFILL_TOKENS = 6_000;
 
     private SendWindow() {}
 
-    /** Returns the targets that take a request of so many tokens now. */
+    /** Returns the targets that can accept a request of the given size now. */
     public static List<Target> targetsWithRoom(
             List<Target> targets, EngineTraits engine, int tokens, boolean late, long nowMillis) {
-        boolean othersToo = targets.stream().noneMatch(target -> target.isShared() && takesWork(target, nowMillis));
+        boolean includeUnshared =
+                targets.stream().noneMatch(target -> target.isShared() && acceptsWork(target, nowMillis));
         return targets.stream()
-                .filter(target -> othersToo || target.isShared())
-                .filter(target -> isOpen(target, engine, tokens, late, nowMillis))
+                .filter(target -> includeUnshared || target.isShared())
+                .filter(target -> hasRoom(target, engine, tokens, late, nowMillis))
                 .toList();
     }
 
-    private static boolean takesWork(Target target, long nowMillis) {
+    private static boolean acceptsWork(Target target, long nowMillis) {
         return !target.isPaused(nowMillis) && !target.isLoadingWeights(nowMillis);
     }
 
-    private static boolean isOpen(Target target, EngineTraits engine, int tokens, boolean late, long nowMillis) {
-        if (!takesWork(target, nowMillis)) {
+    private static boolean hasRoom(Target target, EngineTraits engine, int tokens, boolean late, long nowMillis) {
+        if (!acceptsWork(target, nowMillis)) {
             return false;
         }
-        TargetLoad others = target.othersLoad(nowMillis);
-        if (target.inFlight() + others.requests() == 0) {
-            // A request that is larger than all memory is the engine's to refuse.
+        TargetLoad peers = target.peerLoad(nowMillis);
+        if (target.inFlight() + peers.requests() == 0) {
+            // An idle engine accepts anything; it rejects requests that exceed its whole memory itself.
             return true;
         }
-        boolean modest = late || !target.isShared();
-        long unread = target.waitingTokens() + others.pendingPrefillTokens();
-        long memory = target.inFlightTokens() + others.tokens() + tokens;
-        return unread < (modest ? MODEST_WAITING_TOKENS : WAITING_TOKENS)
-                && memory <= engine.capacityTokens() * (modest ? MODEST_MEMORY_SHARE : MEMORY_SHARE)
-                && target.inFlight() + others.requests() < engine.slots();
+        boolean conservative = late || !target.isShared();
+        long prefill = target.pendingPrefillTokens() + peers.pendingPrefillTokens();
+        long memory = target.inFlightTokens() + peers.tokens() + tokens;
+        return prefill < (conservative ? CONSERVATIVE_MAX_PREFILL_TOKENS : MAX_PREFILL_TOKENS)
+                && memory <= engine.capacityTokens() * (conservative ? CONSERVATIVE_MAX_MEMORY_SHARE : MAX_MEMORY_SHARE)
+                && target.inFlight() + peers.requests() < engine.slots();
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/Target.java
@@ -9,15 +9,12 @@
 import org.rattanrudder.core.routing.Hashing;
 
 /**
- * One target as this gateway sees it: its entry, the work that was sent to it, and how its last answers went.
+ * One target as seen by this relay: its registration, the requests that were sent to it, and recent outcomes.
  *
- * <p>All times are milliseconds of one steady clock.
+ * <p>All times are milliseconds of a monotonic clock.
  */
 public final class Target {
-    /**
-     * How fast old experience fades, in ms: after this time half of a bad impression is gone, so that a target that has
-     * recovered is tried again within seconds without a probe.
-     */
+    /** Half-life of recorded outcomes: a target that has recovered is tried again within seconds, without a probe. */
     static final double HALF_LIFE_MILLIS = 2_500;
 
     /** The weight of the newest sample of time to the first byte. */
@@ -26,115 +23,117 @@
     /** The weight of the newest success or failure. */
     private static final double OUTCOME_WEIGHT = 0.3;
 
-    /** A load that a target told of itself counts for this long; then only what we sent ourselves is believed. */
+    /** How long the load that a target reports of itself is valid; after that, only this relay's own requests count. */
     private static final long LOAD_VALID_MILLIS = 1_500;
 
-    /** What a waiting request of another relay counts, in tokens: a mean prompt of which a part is cached. */
-    private static final long OTHERS_WAITING_TOKENS = 3_000;
+    /** Assumed prefill tokens of a peer's waiting request: a mean prompt that is partly cached. */
+    private static final long PEER_WAITING_REQUEST_TOKENS = 3_000;
 
-    /** What a running request of another relay takes of an engine's memory, in tokens, about. */
-    private static final long OTHERS_RUNNING_TOKENS = 4_000;
+    /** Assumed memory of a peer's running request, in tokens. */
+    private static final long PEER_RUNNING_REQUEST_TOKENS = 4_000;
 
-    private static final long FIRST_PAUSE_MILLIS = 250;
-    private static final long LONGEST_PAUSE_MILLIS = 2_000;
+    private static final long INITIAL_PAUSE_MILLIS = 250;
+    private static final long MAX_PAUSE_MILLIS = 2_000;
 
     private final Map<String, Long> confirmedWeights = new HashMap<>();
     private final PeerLoads peers;
     private final TargetSharing sharing;
-    private final Reach reach = new Reach();
+    private final Reachability reachability = new Reachability();
     private final long idHash;
     private TargetRegistration registration;
     private int inFlight;
     private long inFlightTokens;
-    private long waitingTokens;
-    private int othersRunning;
-    private int othersWaiting;
-    private long loadAt = Long.MIN_VALUE / 2;
+    private long pendingPrefillTokens;
+    private int peerRunning;
+    private int peerWaiting;
+    private long loadReportedAt = Long.MIN_VALUE / 2;
     private double firstByteExcess;
     private double failureRatio;
-    private long experienceAt;
-    private int refusedInARow;
+    private long decayedAt;
+    private int consecutiveRejections;
     private long pausedUntil = Long.MIN_VALUE / 2;
     private long lastActivityAt;
-    private long swappingUntil = Long.MIN_VALUE / 2;
+    private long loadingWeightsUntil = Long.MIN_VALUE / 2;
     private long confirmedAt = Long.MIN_VALUE / 2;
 
     private long sharingVersion = -1;
     private boolean shared;
     private Set<String> sharingRelays = Set.of();
 
-    /** Makes a target that other relays may have work at. */
-    Target(TargetRegistration entry, PeerLoads peers, TargetSharing sharing) {
-        this.registration = entry;
+    /** Creates a target that peers may have requests at. */
+    Target(TargetRegistration registration, PeerLoads peers, TargetSharing sharing) {
+        this.registration = registration;
         this.peers = peers;
         this.sharing = sharing;
-        idHash = Hashing.of(entry.id());
+        idHash = Hashing.of(registration.id());
     }
 
-    /** Returns what it last said of itself. */
+    /** Returns the target's last registration. */
     public TargetRegistration registration() {
         return registration;
     }
 
-    /** Returns its incarnation. */
+    /** Returns the id of the target's incarnation. */
     public String id() {
         return registration.id();
     }
 
-    /** Returns a hash of its incarnation. */
+    /** Returns a hash of the id. */
     long idHash() {
         return idHash;
     }
 
-    /** Returns the other relays that share it: they are told at once of what is placed there. */
+    /** Returns the peers that share this target; they get an incremental report for each request that is sent to it. */
     public Set<String> sharingRelays() {
-        share();
+        updateSharing();
         return sharingRelays;
     }
 
-    /** Returns whether this relay shares it, and so hears at once of what others place there. */
+    /**
+     * Returns whether this relay shares the target and so gets an incremental report when a peer sends it a request.
+     */
     public boolean isShared() {
-        share();
+        updateSharing();
         return shared;
     }
 
-    private void share() {
+    private void updateSharing() {
         if (sharingVersion != sharing.version()) {
             sharingVersion = sharing.version();
-            shared = sharing.isOwn(idHash, registration.failureDomain());
-            sharingRelays = sharing.others(idHash, registration.failureDomain());
+            shared = sharing.isShared(idHash, registration.failureDomain());
+            sharingRelays = sharing.otherSharers(idHash, registration.failureDomain());
         }
     }
 
-    /** Takes its newest entry; weights that are new there end the time in which it takes no work. */
+    /** Applies a newer registration. If it lists a newer version of weights, the target has finished loading. */
     void update(TargetRegistration newest) {
         boolean loaded =
                 newest.weights().entrySet().stream().anyMatch(served -> served.getValue() > weights(served.getKey()));
         if (loaded) {
-            swappingUntil = Long.MIN_VALUE / 2;
+            loadingWeightsUntil = Long.MIN_VALUE / 2;
         }
         registration = newest;
     }
 
-    /** Returns the version of a model's weights that it serves as far as known; 0 if unknown. */
+    /** Returns the version of a model's weights that the target serves; 0 if unknown. */
     public long weights(String model) {
         return Math.max(registration.weights().getOrDefault(model, 0L), confirmedWeights.getOrDefault(model, 0L));
     }
 
     /**
-     * Notes a version of weights that the target was seen to serve. A version that is new ends the time in which it
-     * takes no work; one that was known doesn't, since runs that the target still ends before it loads name it too.
+     * Records a version of weights that the target was seen to serve. A newer version means that the target has
+     * finished loading. A known version doesn't: runs that the target finishes before it loads report that version too.
      */
     public void confirmWeights(String model, long version, long nowMillis) {
         if (version <= weights(model)) {
             return;
         }
-        swappingUntil = Long.MIN_VALUE / 2;
+        loadingWeightsUntil = Long.MIN_VALUE / 2;
         confirmedWeights.put(model, version);
         confirmedAt = nowMillis;
     }
 
-    /** Returns the weights that it was seen to serve since a time, beyond those of its entry at that time. */
+    /** Returns the confirmed weights if any was confirmed since the given time. */
     public List<ServedWeights> weightsConfirmedSince(long sinceMillis) {
         if (confirmedAt < sinceMillis) {
             return List.of();
@@ -144,134 +143,137 @@
                 .toList();
     }
 
-    /** Notes that the target takes no new work before a time, since it loads weights. */
+    /** Records that the target accepts no requests until the given time, since it loads weights. */
     public void markLoadingWeights(long untilMillis) {
-        swappingUntil = untilMillis;
+        loadingWeightsUntil = untilMillis;
     }
 
-    /** Returns whether it loads weights, as far as known. */
+    /** Returns whether the target is known to be loading weights. */
     public boolean isLoadingWeights(long nowMillis) {
-        return nowMillis < swappingUntil;
+        return nowMillis < loadingWeightsUntil;
     }
 
     /**
-     * The work that a request is for its target.
+     * The cost of a request at its target.
      *
-     * @param tokens the memory that it takes, in tokens
-     * @param prefillTokens the part of its prompt that must be read, in tokens
+     * @param tokens the memory that it needs, in tokens
+     * @param prefillTokens the prompt tokens that need prefill
      */
     public record RequestCost(int tokens, int prefillTokens) {}
 
-    /** Notes that a request was sent, or that it will be once its connection is open. */
-    public void onSent(RequestCost work, long nowMillis) {
+    /** Records that a request was sent, or will be once its connection is open. */
+    public void onSent(RequestCost cost, long nowMillis) {
         inFlight++;
-        inFlightTokens += work.tokens();
-        waitingTokens += work.prefillTokens();
+        inFlightTokens += cost.tokens();
+        pendingPrefillTokens += cost.prefillTokens();
         if (inFlight == 1) {
             lastActivityAt = nowMillis;
         }
     }
 
-    /** Notes the first byte of an answer to a request. */
-    public void onFirstByte(RequestCost work) {
-        waitingTokens -= work.prefillTokens();
+    /** Records the first byte of a response. */
+    public void onFirstByte(RequestCost cost) {
+        pendingPrefillTokens -= cost.prefillTokens();
     }
 
-    /** Notes that a request has ended, in whatever way. */
-    public void onEnded(RequestCost work, boolean hadBegun) {
+    /** Records that a request has ended, with any outcome. */
+    public void onEnded(RequestCost cost, boolean responseStarted) {
         inFlight--;
-        inFlightTokens -= work.tokens();
-        if (!hadBegun) {
-            waitingTokens -= work.prefillTokens();
+        inFlightTokens -= cost.tokens();
+        if (!responseStarted) {
+            pendingPrefillTokens -= cost.prefillTokens();
         }
     }
 
-    /** Notes any byte from the target. */
+    /** Records that any bytes were received from the target. */
     public void onBytesReceived(long nowMillis) {
         lastActivityAt = nowMillis;
     }
 
-    /** Returns when the target was last heard of, or got work while it had none. */
+    /** Returns when bytes were last received from the target, or when it got a request while it had none. */
     public long lastActivityAt() {
         return lastActivityAt;
     }
 
-    /** Notes the load that the target told of itself. */
+    /** Records the load that the target reported of itself. */
     public void updateReportedLoad(int running, int waiting, long nowMillis) {
-        // Our own share is known exactly; what is left is the other gateways'.
-        othersRunning = Math.max(0, running + waiting - inFlight);
-        othersWaiting = Math.min(waiting, othersRunning);
-        loadAt = nowMillis;
+        // This relay's own requests are known exactly; the rest belongs to peers.
+        peerRunning = Math.max(0, running + waiting - inFlight);
+        peerWaiting = Math.min(waiting, peerRunning);
+        loadReportedAt = nowMillis;
     }
 
-    /** Notes a success, and by how much its first byte was later than expected of a healthy target, in ms. */
+    /** Records a success, and by how many ms its first byte was later than expected of a healthy target. */
     public void recordSuccess(double excessMillis, long nowMillis) {
-        fade(nowMillis);
-        reach.answers();
-        refusedInARow = 0;
+        decay(nowMillis);
+        reachability.onReachable();
+        consecutiveRejections = 0;
         pausedUntil = Long.MIN_VALUE / 2;
         firstByteExcess += SAMPLE_WEIGHT * (Math.max(0, excessMillis) - firstByteExcess);
         failureRatio -= OUTCOME_WEIGHT * failureRatio;
     }
 
-    /** Notes a failure after the request was sent, and how long was waited for it, in ms. */
+    /** Records a failure after the request was sent, and how many ms the relay waited for the response. */
     public void recordFailure(double waitedMillis, long nowMillis) {
-        fade(nowMillis);
+        decay(nowMillis);
         firstByteExcess = Math.max(firstByteExcess, SAMPLE_WEIGHT * waitedMillis);
         failureRatio += OUTCOME_WEIGHT * (1 - failureRatio);
     }
 
-    /** Notes that a connection to it is being opened. */
+    /** Records that a dial has started. */
     public void onDialStarted(long nowMillis) {
-        reach.dialling(nowMillis);
+        reachability.onDialStarted(nowMillis);
     }
 
-    /** Notes that a connection was opened, or that it couldn't be. */
+    /** Records that a dial has succeeded or failed. */
     public void onDialFinished(boolean opened, long nowMillis) {
-        reach.dialled(opened, nowMillis);
+        reachability.onDialFinished(opened, nowMillis);
     }
 
-    /** Notes that a connection takes longer to open than a request waits for it. */
+    /** Records that a dial has taken longer than a request waits for one. */
     public void onDialOverdue() {
-        reach.overdue();
+        reachability.onDialOverdue();
     }
 
-    /** Returns whether no connection to it could be had; it then takes no requests until one was opened. */
+    /**
+     * Returns whether the last dial has failed or is overdue; the target then gets no requests until a dial succeeds.
+     */
     public boolean isUnreachable() {
-        return reach.isLost();
+        return reachability.isUnreachable();
     }
 
-    /** Returns how long after a dial that failed the next one is due, in ms. */
+    /** Returns the delay between a failed dial and the next one. */
     public long redialDelayMillis() {
-        return reach.retryAfterMillis();
+        return reachability.retryAfterMillis();
     }
 
-    /** Returns whether it should be dialled again, since it couldn't be reached. */
+    /** Returns whether to dial the target again because it was unreachable. */
     public boolean isRedialDue() {
-        return reach.isDialDue();
+        return reachability.isRedialDue();
     }
 
-    /** Returns whether a dial would tell something new of it. */
+    /** Returns whether a probe dial would yield new information. */
     public boolean isProbeUseful(long nowMillis) {
-        return reach.isWorthDialling(nowMillis);
+        return reachability.isProbeUseful(nowMillis);
     }
 
     /**
-     * Notes that the target refused a request. The pause doubles with each refusal in a row: a target that loads
-     * weights refuses for seconds, and a relay that doesn't know of it would spend its retries there.
+     * Records that the target rejected a request. The pause doubles with each consecutive rejection: a target that
+     * loads weights rejects requests for seconds, and a relay that doesn't know of the load would use up its retries
+     * there.
      */
     public void onRejected(long nowMillis) {
-        long pause = Math.min(LONGEST_PAUSE_MILLIS, FIRST_PAUSE_MILLIS << Math.min(3, refusedInARow));
-        refusedInARow++;
+        long pause = Math.min(MAX_PAUSE_MILLIS, INITIAL_PAUSE_MILLIS << Math.min(3, consecutiveRejections));
+        consecutiveRejections++;
         pausedUntil = Math.max(pausedUntil, nowMillis + pause);
     }
 
-    /** Returns whether it should be left alone for now if another one can be had. */
+    /** Returns whether to prefer other targets for now. */
     public boolean isPaused(long nowMillis) {
-        return nowMillis < pausedUntil || reach.inDoubt(nowMillis);
+        return nowMillis < pausedUntil || reachability.isSuspect(nowMillis);
     }
 
-    /** Returns the requests of this gateway that it works on, and those that wait for a connection to it. */
+    /** Returns the requests of this relay that the target is processing or that wait for a connection to it. */
     public int inFlight() {
         return inFlight;
     }
@@ -280,50 +282,53 @@
         return inFlightTokens;
     }
 
-    long waitingTokens() {
-        return waitingTokens;
+    long pendingPrefillTokens() {
+        return pendingPrefillTokens;
     }
 
-    /** Returns the requests that it works on, of all relays, as far as known. */
+    /** Returns the number of requests at the target over all relays, as far as known. */
     public int requests(long nowMillis) {
-        return inFlight + othersLoad(nowMillis).requests();
+        return inFlight + peerLoad(nowMillis).requests();
     }
 
-    /** Returns the work that this relay has there. */
+    /** Returns the load of this relay at the target. */
     public TargetLoad ownLoad() {
-        return new TargetLoad(id(), inFlight, inFlightTokens, waitingTokens);
+        return new TargetLoad(id(), inFlight, inFlightTokens, pendingPrefillTokens);
     }
 
     /**
-     * Returns the work that other relays have there: what they say themselves, or, if none of them is heard of, what
-     * the target's last report leaves over.
+     * Returns the load of all peers at the target: as reported by them, or, if there are no fresh reports, what remains
+     * of the target's own report without this relay's requests.
      */
-    TargetLoad othersLoad(long nowMillis) {
-        if (!registration.weights().isEmpty() && peers.alive(nowMillis) > 0) {
-            return peers.at(id(), nowMillis);
+    TargetLoad peerLoad(long nowMillis) {
+        if (!registration.weights().isEmpty() && peers.liveCount(nowMillis) > 0) {
+            return peers.totalAt(id(), nowMillis);
         }
-        if (nowMillis - loadAt > LOAD_VALID_MILLIS) {
+        if (nowMillis - loadReportedAt > LOAD_VALID_MILLIS) {
             return TargetLoad.none(id());
         }
         return new TargetLoad(
-                id(), othersRunning, othersRunning * OTHERS_RUNNING_TOKENS, othersWaiting * OTHERS_WAITING_TOKENS);
+                id(),
+                peerRunning,
+                peerRunning * PEER_RUNNING_REQUEST_TOKENS,
+                peerWaiting * PEER_WAITING_REQUEST_TOKENS);
     }
 
     double firstByteExcess(long nowMillis) {
-        fade(nowMillis);
+        decay(nowMillis);
         return firstByteExcess;
     }
 
-    /** Returns the share of failures among its recent answers, 0 to 1. */
+    /** Returns the ratio of failures among recent outcomes, from 0 to 1. */
     public double failureRatio(long nowMillis) {
-        fade(nowMillis);
+        decay(nowMillis);
         return failureRatio;
     }
 
-    private void fade(long nowMillis) {
-        double kept = Math.pow(0.5, Math.max(0, nowMillis - experienceAt) / HALF_LIFE_MILLIS);
+    private void decay(long nowMillis) {
+        double kept = Math.pow(0.5, Math.max(0, nowMillis - decayedAt) / HALF_LIFE_MILLIS);
         firstByteExcess *= kept;
         failureRatio *= kept;
-        experienceAt = nowMillis;
+        decayedAt = nowMillis;
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/TargetRegistration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/TargetRegistration.java
@@ -4,15 +4,15 @@
 import org.rattanrudder.core.model.Address;
 
 /**
- * What a target said of itself when it was last heard of.
+ * The registration that a target last published.
  *
- * @param id its name, which another start of it may have again
- * @param startedAt when it started, by its own clock in Unix ms; {@link #START_UNKNOWN} if it doesn't say
+ * @param id its name, which it may keep across restarts
+ * @param startedAt when it started, by its own clock in Unix ms; {@link #START_UNKNOWN} if not given
  * @param service the service that it belongs to
- * @param address where it listens
- * @param failureDomain where it stands
- * @param slots requests that it works on at once; 0 if it doesn't say
- * @param draining whether it is leaving and takes no new work
+ * @param address the address that it listens on
+ * @param failureDomain its failure domain
+ * @param slots how many requests it processes concurrently; 0 if not given
+ * @param draining whether it is shutting down and accepts no new requests
  * @param weights the version of each model that it serves
  */
 public record TargetRegistration(
@@ -24,10 +24,9 @@
         int slots,
         boolean draining,
         Map<String, Long> weights) {
-    /** The start of a target that doesn't say when it was; before any other start. */
+    /** The start time of a target that gives none; sorts before any other. */
     public static final long START_UNKNOWN = 0;
 
-    /** Takes a copy of the versions. */
     public TargetRegistration {
         weights = Map.copyOf(weights);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/TargetSharing.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/fleet/TargetSharing.java
@@ -12,25 +12,29 @@
 import org.rattanrudder.core.routing.Hashing;
 
 /**
- * Decides which relays share a target: they send to it as a rule, and tell each other at once of what they place there.
+ * Decides which relays share a target: these normally send requests to it, and report each one to the other sharers at
+ * once.
  *
- * <p>If every relay shared every target, a request would cost a message to each relay. Among many relays a target is
- * shared by those of its failure domain and by a few of others, up to a fixed number. All relays work this out alike
- * from names and domains; where they disagree for a moment, a placement is heard of later. What a relay does with
- * targets that it doesn't share says {@link SendWindow}.
+ * <p>If every relay shared every target, each request would cost a message to every relay. In a large fleet a target is
+ * shared by relays in its failure domain and by a few in others, up to a fixed number. All relays compute the same
+ * result from names and failure domains; if they disagree for a moment, a request is reported later. {@link SendWindow}
+ * decides how a relay uses targets that it doesn't share.
  */
 final class TargetSharing {
-    /** Up to so many relays share every target. */
-    static final int FEW = 9;
+    /** Up to this many relays share every target. */
+    static final int MAX_RELAYS_SHARING_ALL = 9;
 
-    /** Relays of the target's failure domain that share it, at most. */
-    static final int NEAR = 12;
+    /** Maximum number of sharers in the target's failure domain. */
+    static final int MAX_NEAR_SHARERS = 12;
 
-    /** Relays of other failure domains that share it: they take over when its own have no room left. */
-    static final int FAR = 4;
+    /**
+     * Number of sharers in other failure domains, which take over when those in the target's own domain are out of
+     * capacity.
+     */
+    static final int FAR_SHARERS = 4;
 
-    /** Relays that share a target at least, in whichever failure domains. */
-    static final int LEAST = 8;
+    /** Minimum number of sharers, in any failure domain. */
+    static final int MIN_SHARERS = 8;
 
     private final Map<String, Relay> relays = new HashMap<>();
     private String self = "";
@@ -39,12 +43,12 @@
     private record Relay(String name, long hash, String failureDomain) {}
 
     /**
-     * Takes the relays that are there.
+     * Sets the live relays.
      *
      * @param ownName this relay's name
-     * @param domains the failure domain of each relay by its name, of this one too
+     * @param domains the failure domain of each relay by name, including this one
      */
-    void relays(String ownName, Map<String, String> domains) {
+    void updateRelays(String ownName, Map<String, String> domains) {
         boolean same = ownName.equals(self)
                 && relays.values().stream()
                         .collect(Collectors.toMap(Relay::name, Relay::failureDomain))
@@ -59,25 +63,26 @@
         version++;
     }
 
-    /** Returns a number that changes with the relays: what was worked out before holds as long as it stays. */
+    /** Returns a number that changes with the set of relays; results computed for the same version stay valid. */
     long version() {
         return version;
     }
 
     /** Returns the other relays that share a target. */
-    Set<String> others(long targetHash, String targetDomain) {
+    Set<String> otherSharers(long targetHash, String targetDomain) {
         return sharers(targetHash, targetDomain).stream()
                 .filter(name -> !name.equals(self))
                 .collect(Collectors.toUnmodifiableSet());
     }
 
     /** Returns whether this relay shares a target. */
-    boolean isOwn(long targetHash, String targetDomain) {
-        return relays.size() <= FEW || sharers(targetHash, targetDomain).contains(self);
+    boolean isShared(long targetHash, String targetDomain) {
+        return relays.size() <= MAX_RELAYS_SHARING_ALL
+                || sharers(targetHash, targetDomain).contains(self);
     }
 
     private Collection<String> sharers(long targetHash, String targetDomain) {
-        if (relays.size() <= FEW) {
+        if (relays.size() <= MAX_RELAYS_SHARING_ALL) {
             return relays.keySet();
         }
         Map<Boolean, List<Relay>> byNearness = relays.values().stream()
@@ -85,8 +90,8 @@
                         .thenComparing(Relay::name))
                 .collect(
                         Collectors.partitioningBy(relay -> relay.failureDomain().equals(targetDomain)));
-        List<Relay> near = byNearness.get(true).stream().limit(NEAR).toList();
-        long far = Math.max(FAR, LEAST - near.size());
+        List<Relay> near = byNearness.get(true).stream().limit(MAX_NEAR_SHARERS).toList();
+        long far = Math.max(FAR_SHARERS, MIN_SHARERS - near.size());
         return Stream.concat(near.stream(), byNearness.get(false).stream().limit(far))
                 .map(Relay::name)
                 .collect(Collectors.toCollection(HashSet::new));
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/FleetTest.java
@@ -12,63 +12,62 @@
 
 class FleetTest {
     private static final long START = 100_000;
-    private static final long SETTLED = START + Fleet.RETURN_GRACE_MILLIS;
+    private static final long SETTLED = START + Fleet.LOG_RECOVERY_GRACE_MILLIS;
 
     private final Fleet fleet = new Fleet();
 
     @Test
-    void aDrainingTargetTakesNoNewWork() {
+    void drainingTargetGetsNoNewRequests() {
         fleet.onLogAvailable(START);
-        fleet.apply("i-1", Optional.of(entry("i-1", false)), 1, SETTLED);
-        fleet.apply("i-1", Optional.of(entry("i-1", true)), 2, SETTLED);
+        fleet.apply("i-1", Optional.of(registration("i-1", false)), 1, SETTLED);
+        fleet.apply("i-1", Optional.of(registration("i-1", true)), 2, SETTLED);
 
         assertThat(fleet.activeTargets("llm", SETTLED)).isEmpty();
         assertThat(fleet.find("i-1")).isPresent();
     }
 
     /**
-     * The log forgets its history and shows readers a state of seconds ago. A target that drained meanwhile would look
-     * ready again, and requests would reach it after it has left.
+     * After losing its history, the log returns state from seconds ago. A target that has been draining meanwhile would
+     * look ready again and get requests after it has shut down.
      */
     @Test
-    void anOlderRecordIsNotBelieved() {
+    void olderRecordIsIgnored() {
         fleet.onLogAvailable(START);
-        fleet.apply("i-1", Optional.of(entry("i-1", true)), 9, SETTLED);
+        fleet.apply("i-1", Optional.of(registration("i-1", true)), 9, SETTLED);
 
-        assertThat(fleet.apply("i-1", Optional.of(entry("i-1", false)), 8, SETTLED))
+        assertThat(fleet.apply("i-1", Optional.of(registration("i-1", false)), 8, SETTLED))
                 .isFalse();
         assertThat(fleet.activeTargets("llm", SETTLED)).isEmpty();
     }
 
     /**
-     * The log is down for longer than entries live, so all of them lapse. On its return the relay would find no target,
-     * and refuse everybody until each target has registered again.
+     * An outage of the log outlasts the lifetime of all registrations. On its recovery the relay would have no targets
+     * and reject all requests until each target has registered again.
      */
     @Test
-    void anEntryThatLapsedWhileTheLogWasAwayIsKeptForAWhile() {
+    void registrationExpiredDuringLogOutageIsKeptForGracePeriod() {
         fleet.onLogAvailable(START);
-        fleet.apply("i-1", Optional.of(entry("i-1", false)), 1, SETTLED);
+        fleet.apply("i-1", Optional.of(registration("i-1", false)), 1, SETTLED);
         fleet.onLogUnavailable();
-        long returned = SETTLED + 20_000;
-        fleet.onLogAvailable(returned);
-        fleet.apply("i-1", Optional.empty(), 2, returned + 10);
+        long recovered = SETTLED + 20_000;
+        fleet.onLogAvailable(recovered);
+        fleet.apply("i-1", Optional.empty(), 2, recovered + 10);
 
-        assertThat(fleet.activeTargets("llm", returned + 100)).hasSize(1);
-        assertThat(fleet.activeTargets("llm", returned + Fleet.RETURN_GRACE_MILLIS + 11))
+        assertThat(fleet.activeTargets("llm", recovered + 100)).hasSize(1);
+        assertThat(fleet.activeTargets("llm", recovered + Fleet.LOG_RECOVERY_GRACE_MILLIS + 11))
                 .isEmpty();
     }
 
     /**
-     * A relay starts, lists the targets, and 0.4 s later the log says that one of them was removed: it left without
-     * having reported that it drains. Prompts still go to it 2.4 s after its removal, 0.4 s later than allowed.
-     * The first answer that a relay gets from the log counts as the log's return from an outage, after which removals
-     * are held back for 2.5 s; but the log was never away.
+     * Removals are delayed for 2.5 s after the log recovers from an outage. When the first response after a relay's
+     * start counted as such a recovery, prompts were sent to a target 2.4 s after its removal, 0.4 s later than
+     * allowed.
      */
     @Test
-    void aRemovalShortlyAfterTheStartIsBelievedInTime() {
+    void removalShortlyAfterStartIsAppliedAtOnce() {
         long drainMillis = 2_000;
         fleet.onLogAvailable(START);
-        fleet.apply("i-1", Optional.of(entry("i-1", false)), 6, START + 10);
+        fleet.apply("i-1", Optional.of(registration("i-1", false)), 6, START + 10);
         fleet.applyListing(Set.of("i-1"), 7, START + 10);
         long removed = START + 400;
         fleet.apply("i-1", Optional.empty(), 12, removed);
@@ -77,23 +76,23 @@
     }
 
     @Test
-    void anEntryThatComesBackInTimeStays() {
+    void registrationRenewedWithinGracePeriodIsKept() {
         fleet.onLogAvailable(START);
-        fleet.apply("i-1", Optional.of(entry("i-1", false)), 1, SETTLED);
+        fleet.apply("i-1", Optional.of(registration("i-1", false)), 1, SETTLED);
         fleet.onLogUnavailable();
-        long returned = SETTLED + 20_000;
-        fleet.onLogAvailable(returned);
-        fleet.apply("i-1", Optional.empty(), 2, returned + 10);
-        fleet.apply("i-1", Optional.of(entry("i-1", false)), 3, returned + 900);
+        long recovered = SETTLED + 20_000;
+        fleet.onLogAvailable(recovered);
+        fleet.apply("i-1", Optional.empty(), 2, recovered + 10);
+        fleet.apply("i-1", Optional.of(registration("i-1", false)), 3, recovered + 900);
 
-        assertThat(fleet.activeTargets("llm", returned + 60_000)).hasSize(1);
+        assertThat(fleet.activeTargets("llm", recovered + 60_000)).hasSize(1);
     }
 
     @Test
-    void aTargetThatAListingLacksIsGoneUnlessItIsNewer() {
+    void targetMissingFromListingIsRemovedUnlessNewer() {
         fleet.onLogAvailable(START);
-        fleet.apply("i-1", Optional.of(entry("i-1", false)), 1, SETTLED);
-        fleet.apply("i-2", Optional.of(entry("i-2", false)), 7, SETTLED);
+        fleet.apply("i-1", Optional.of(registration("i-1", false)), 1, SETTLED);
+        fleet.apply("i-2", Optional.of(registration("i-2", false)), 7, SETTLED);
 
         fleet.applyListing(Set.of(), 5, SETTLED);
 
@@ -101,26 +100,26 @@
     }
 
     /**
-     * A relay's own cable is cut. Told by it that all engines are gone, 26 others would dial each of them at once, ten
-     * times a second.
+     * A relay's own link is cut. If it reported all engines as unreachable, 26 peers would dial each of them at once,
+     * ten times a second.
      */
     @ParameterizedTest
     @CsvSource({"0, 0", "1, 1", "2, 2", "3, 0", "4, 0"})
-    void aRelayThatReachesFewTargetsSaysNothingOfThem(int lost, int told) {
+    void relayThatReachesFewTargetsReportsNoneUnreachable(int unreachable, int reported) {
         Fleet fleet = new Fleet();
         fleet.onLogAvailable(0);
         for (int index = 0; index < 4; index++) {
             String id = "i-" + index;
-            fleet.apply(id, Optional.of(entry(id, false)), index, 1_000);
+            fleet.apply(id, Optional.of(registration(id, false)), index, 1_000);
             Target target = fleet.find(id).orElseThrow();
             target.onDialStarted(1_000);
-            target.onDialFinished(index >= lost, 1_400);
+            target.onDialFinished(index >= unreachable, 1_400);
         }
 
-        assertThat(fleet.unreachableTargets(1_400)).hasSize(told);
+        assertThat(fleet.unreachableTargets(1_400)).hasSize(reported);
     }
 
-    static TargetRegistration entry(String id, boolean draining) {
+    static TargetRegistration registration(String id, boolean draining) {
         return new TargetRegistration(
                 id,
                 TargetRegistration.START_UNKNOWN,
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PeerLoadsTest.java
@@ -21,103 +21,104 @@
     private final PeerLoads peers = new PeerLoads();
 
     @Test
-    void theWorkOfAllOthersIsAddedUp() {
-        peers.heard(load("a", 1, new TargetLoad("i-1", 2, 18_000, 4_000)), NOW);
-        peers.heard(load("b", 1, new TargetLoad("i-1", 1, 9_000, 0), new TargetLoad("i-2", 1, 1, 1)), NOW);
+    void loadOfAllPeersIsSummed() {
+        peers.apply(fullReport("a", 1, new TargetLoad("i-1", 2, 18_000, 4_000)), NOW);
+        peers.apply(fullReport("b", 1, new TargetLoad("i-1", 1, 9_000, 0), new TargetLoad("i-2", 1, 1, 1)), NOW);
 
-        assertThat(peers.at("i-1", NOW)).isEqualTo(new TargetLoad("i-1", 3, 27_000, 4_000));
-        assertThat(peers.alive(NOW)).isEqualTo(2);
+        assertThat(peers.totalAt("i-1", NOW)).isEqualTo(new TargetLoad("i-1", 3, 27_000, 4_000));
+        assertThat(peers.liveCount(NOW)).isEqualTo(2);
     }
 
     @Test
-    void aMessageThatComesLateOrTwiceIsDropped() {
-        peers.heard(load("a", 5, new TargetLoad("i-1", 1, 9_000, 0)), NOW);
-        peers.heard(load("a", 4, new TargetLoad("i-1", 7, 63_000, 0)), NOW);
+    void lateOrDuplicateReportIsDropped() {
+        peers.apply(fullReport("a", 5, new TargetLoad("i-1", 1, 9_000, 0)), NOW);
+        peers.apply(fullReport("a", 4, new TargetLoad("i-1", 7, 63_000, 0)), NOW);
 
-        assertThat(peers.at("i-1", NOW).requests()).isEqualTo(1);
+        assertThat(peers.totalAt("i-1", NOW).requests()).isEqualTo(1);
     }
 
     /**
-     * 27 relays hear of each other's work ten times a second. In between each sends a check to the engine that seems
-     * free to all of them, and its memory overflows. What was just sent is told at once, without all the rest.
+     * 27 relays exchange full reports ten times a second. In between, each sends a request to the engine that looks
+     * idle to all of them, and its memory overflows. An incremental report therefore follows each dispatch at once.
      */
     @Test
-    void workThatWasJustSentIsAddedToWhatIsKnown() {
-        peers.heard(load("a", 5, new TargetLoad("i-1", 1, 9_000, 0), new TargetLoad("i-2", 1, 900, 0)), NOW);
+    void incrementalReportUpdatesOnlyItsTargets() {
+        peers.apply(fullReport("a", 5, new TargetLoad("i-1", 1, 9_000, 0), new TargetLoad("i-2", 1, 900, 0)), NOW);
 
-        peers.heard(sent("a", 6, new TargetLoad("i-1", 2, 18_000, 9_000)), NOW);
-        peers.heard(sent("a", 4, new TargetLoad("i-2", 9, 9_000, 9_000)), NOW);
+        peers.apply(incrementalReport("a", 6, new TargetLoad("i-1", 2, 18_000, 9_000)), NOW);
+        peers.apply(incrementalReport("a", 4, new TargetLoad("i-2", 9, 9_000, 9_000)), NOW);
 
-        assertThat(peers.at("i-1", NOW).tokens()).isEqualTo(18_000);
-        assertThat(peers.at("i-2", NOW).tokens()).isEqualTo(900);
+        assertThat(peers.totalAt("i-1", NOW).tokens()).isEqualTo(18_000);
+        assertThat(peers.totalAt("i-2", NOW).tokens()).isEqualTo(900);
 
-        peers.heard(load("a", 7, new TargetLoad("i-2", 1, 900, 0)), NOW);
+        peers.apply(fullReport("a", 7, new TargetLoad("i-2", 1, 900, 0)), NOW);
 
-        assertThat(peers.at("i-1", NOW).requests()).isZero();
+        assertThat(peers.totalAt("i-1", NOW).requests()).isZero();
     }
 
-    /** The first that is heard of a relay after a start may be what it just sent. */
+    /** The first report received from a relay after a start may be an incremental one. */
     @Test
-    void workThatWasJustSentCountsWithoutTheRest() {
-        peers.heard(sent("a", 1, new TargetLoad("i-1", 2, 18_000, 9_000)), NOW);
+    void incrementalReportCountsBeforeAnyFullReport() {
+        peers.apply(incrementalReport("a", 1, new TargetLoad("i-1", 2, 18_000, 9_000)), NOW);
 
-        assertThat(peers.at("i-1", NOW).requests()).isEqualTo(2);
+        assertThat(peers.totalAt("i-1", NOW).requests()).isEqualTo(2);
     }
 
     @Test
-    void anotherRelayCountsAsReadyWhileItSaysSo() {
+    void peerIsReadyWhileItsReportIsFresh() {
         assertThat(peers.anyReady(NOW)).isFalse();
-        peers.heard(load("a", 1), NOW);
+        peers.apply(fullReport("a", 1), NOW);
 
         assertThat(peers.anyReady(NOW)).isTrue();
-        assertThat(peers.anyReady(NOW + PeerLoads.VALID_MILLIS + 1)).isFalse();
+        assertThat(peers.anyReady(NOW + PeerLoads.MIN_VALID_MILLIS + 1)).isFalse();
     }
 
-    /** A relay dies with work under way; its word would keep engines closed to the others for good. */
+    /** A relay crashes with requests in flight; its last report would keep engines closed to its peers for good. */
     @Test
-    void aSilentRelaysWorkIsForgotten() {
-        peers.heard(load("a", 1, new TargetLoad("i-1", 7, 63_000, 0)), NOW);
+    void loadOfUnresponsivePeerExpires() {
+        peers.apply(fullReport("a", 1, new TargetLoad("i-1", 7, 63_000, 0)), NOW);
 
-        assertThat(peers.at("i-1", NOW + PeerLoads.VALID_MILLIS + 1).requests()).isZero();
-        assertThat(peers.alive(NOW + PeerLoads.VALID_MILLIS + 1)).isZero();
+        assertThat(peers.totalAt("i-1", NOW + PeerLoads.MIN_VALID_MILLIS + 1).requests())
+                .isZero();
+        assertThat(peers.liveCount(NOW + PeerLoads.MIN_VALID_MILLIS + 1)).isZero();
     }
 
-    /** Guards against a relay of many that tells rarely and counts as gone in between. */
+    /** Guards against a relay of a large fleet that reports rarely and counts as stale between two reports. */
     @Test
-    void theWordOfARelayThatTellsRarelyCountsForLonger() {
-        peers.heard(load("a", 1, new TargetLoad("i-1", 7, 63_000, 0)).withInterval(1_500, List.of()), NOW);
-        peers.heard(sent("a", 2, new TargetLoad("i-1", 8, 64_000, 0)), NOW);
+    void reportWithLongIntervalIsValidForLonger() {
+        peers.apply(fullReport("a", 1, new TargetLoad("i-1", 7, 63_000, 0)).withInterval(1_500, List.of()), NOW);
+        peers.apply(incrementalReport("a", 2, new TargetLoad("i-1", 8, 64_000, 0)), NOW);
 
-        assertThat(peers.at("i-1", NOW + 4_500).requests()).isEqualTo(8);
-        assertThat(peers.alive(NOW + 4_501)).isZero();
+        assertThat(peers.totalAt("i-1", NOW + 4_500).requests()).isEqualTo(8);
+        assertThat(peers.liveCount(NOW + 4_501)).isZero();
     }
 
     /**
-     * Six relays send long checks to the same engine, each thinking it alone. The engine's memory overflows, running
-     * checks are thrown out and read again, and all of them are late.
+     * Six relays send long prompts to the same engine, each unaware of the others. The engine's memory overflows,
+     * running requests are preempted and their prompts recomputed, and all of them are late.
      */
     @Test
-    void anEngineThatOthersFilledIsClosed() {
+    void engineFilledByPeersHasNoRoom() {
         Fleet fleet = new Fleet();
         fleet.onLogAvailable(0);
-        fleet.apply("i-1", Optional.of(FleetTest.entry("i-1", false)), 1, NOW);
+        fleet.apply("i-1", Optional.of(FleetTest.registration("i-1", false)), 1, NOW);
         List<Target> targets = fleet.activeTargets("llm", NOW);
         assertThat(SendWindow.targetsWithRoom(targets, ENGINE, 9_000, false, NOW))
                 .hasSize(1);
 
-        fleet.applyLoadReport(load("a", 1, new TargetLoad("i-1", 5, 45_000, 0)), NOW);
-        fleet.applyLoadReport(load("b", 1, new TargetLoad("i-1", 3, 27_000, 0)), NOW);
+        fleet.applyLoadReport(fullReport("a", 1, new TargetLoad("i-1", 5, 45_000, 0)), NOW);
+        fleet.applyLoadReport(fullReport("b", 1, new TargetLoad("i-1", 3, 27_000, 0)), NOW);
 
         assertThat(SendWindow.targetsWithRoom(targets, ENGINE, 9_000, false, NOW))
                 .isEmpty();
     }
 
     /**
-     * An engine ends the runs that it has before it loads new weights. Their answers still name the old ones, which was
-     * taken for the end of the load: relays sent their requests there and had them refused.
+     * An engine finishes its running requests before it loads new weights. Their responses still report the old
+     * weights; when these were taken for the end of the load, relays sent requests there that were rejected.
      */
     @Test
-    void answersOnOldWeightsDoNotEndASwap() {
+    void responseOnOldWeightsDoesNotEndLoading() {
         Target target = PlacementTest.target("i-1", "north", 1);
         target.markLoadingWeights(NOW + 5_000);
 
@@ -129,14 +130,14 @@
     }
 
     /**
-     * A relay is cut off from the store and doesn't read that an engine was ordered to load weights. It would go on
-     * sending checks there and have them refused; the relay that gave the order tells it.
+     * A relay that is cut off from the store doesn't read that an engine was ordered to load weights, and would send it
+     * requests that are rejected. The relay that sent the order reports it to its peers.
      */
     @Test
-    void anEngineThatAnotherRelayOrderedToLoadTakesNoWork() {
+    void engineThatPeerOrderedToLoadGetsNoRequests() {
         Fleet fleet = new Fleet();
         fleet.onLogAvailable(0);
-        fleet.apply("i-1", Optional.of(FleetTest.entry("i-1", false)), 1, NOW);
+        fleet.apply("i-1", Optional.of(FleetTest.registration("i-1", false)), 1, NOW);
 
         fleet.applyLoadReport(
                 new LoadReport(
@@ -157,13 +158,16 @@
         assertThat(SendWindow.targetsWithRoom(fleet.activeTargets("llm", NOW), ENGINE, 9_000, false, NOW))
                 .isEmpty();
         assertThat(SendWindow.targetsWithRoom(
-                        fleet.activeTargets("llm", NOW), ENGINE, 9_000, false, NOW + Fleet.LOADING_TOLD_MILLIS))
+                        fleet.activeTargets("llm", NOW), ENGINE, 9_000, false, NOW + Fleet.LOADING_REPORT_VALID_MILLIS))
                 .hasSize(1);
     }
 
-    /** A full engine is asked again and again; each time a request and a repeat from the budget are lost. */
+    /**
+     * If a full engine were tried at a constant interval, each attempt would waste a request and a retry from the
+     * budget.
+     */
     @Test
-    void anEngineThatKeepsRefusingIsLeftAloneForLonger() {
+    void pauseGrowsWithConsecutiveRejections() {
         Target target = PlacementTest.target("i-1", "north", 1);
         target.onRejected(NOW);
         assertThat(target.isPaused(NOW + 300)).isFalse();
@@ -175,12 +179,15 @@
         assertThat(target.isPaused(NOW + 900)).isFalse();
     }
 
-    /** One relay sees an engine serve its new weights; the others would be sent back by it for a second more. */
+    /**
+     * One relay sees an engine serve its new weights; without its report, the engine would turn away requests of the
+     * other relays for another second.
+     */
     @Test
-    void weightsThatOneRelaySawServedAreKnownToAll() {
+    void weightsConfirmedByPeerAreApplied() {
         Fleet fleet = new Fleet();
         fleet.onLogAvailable(0);
-        fleet.apply("i-1", Optional.of(FleetTest.entry("i-1", false)), 1, NOW);
+        fleet.apply("i-1", Optional.of(FleetTest.registration("i-1", false)), 1, NOW);
         Target seen = PlacementTest.target("i-1", "north", 1);
         seen.confirmWeights("m", 2, NOW);
 
@@ -204,50 +211,50 @@
         assertThat(seen.weightsConfirmedSince(NOW + 1)).isEmpty();
     }
 
-    /** Sums are kept between messages: whatever comes when, they must be those of the newest word of each relay. */
+    /** Sums are cached between reports: in any order of reports, they must match the newest report of each peer. */
     @Property
-    void whatIsAddedUpIsTheNewestWordOfEachRelay(@ForAll long seed) {
+    void sumsMatchNewestReportOfEachPeer(@ForAll long seed) {
         Random random = new Random(seed);
-        PeerLoads drawn = new PeerLoads();
-        Map<String, Map<String, TargetLoad>> words = new HashMap<>();
-        Map<String, Long> heardAt = new HashMap<>();
+        PeerLoads summed = new PeerLoads();
+        Map<String, Map<String, TargetLoad>> expectedLoads = new HashMap<>();
+        Map<String, Long> receivedAt = new HashMap<>();
         long now = NOW;
         for (int sequence = 1; sequence <= 200; sequence++) {
             now += random.nextInt(10) == 0 ? random.nextInt(1_500) : random.nextInt(3);
             String relay = "relay-" + random.nextInt(4);
-            TargetLoad word = new TargetLoad(
+            TargetLoad load = new TargetLoad(
                     "i-" + random.nextInt(5), random.nextInt(9), random.nextInt(9_000), random.nextInt(9_000));
-            boolean whole = random.nextInt(3) == 0;
+            boolean full = random.nextInt(3) == 0;
             long at = now;
-            heardAt.values().removeIf(heard -> at - heard > PeerLoads.VALID_MILLIS);
-            words.keySet().retainAll(heardAt.keySet());
-            assertSums(drawn, words, now);
-            drawn.heard(whole ? load(relay, sequence, word) : sent(relay, sequence, word), now);
-            heardAt.put(relay, now);
-            Map<String, TargetLoad> known = words.computeIfAbsent(relay, unheard -> new HashMap<>());
-            if (whole) {
+            receivedAt.values().removeIf(received -> at - received > PeerLoads.MIN_VALID_MILLIS);
+            expectedLoads.keySet().retainAll(receivedAt.keySet());
+            assertSums(summed, expectedLoads, now);
+            summed.apply(full ? fullReport(relay, sequence, load) : incrementalReport(relay, sequence, load), now);
+            receivedAt.put(relay, now);
+            Map<String, TargetLoad> known = expectedLoads.computeIfAbsent(relay, unseen -> new HashMap<>());
+            if (full) {
                 known.clear();
             }
-            known.put(word.target(), word);
-            assertSums(drawn, words, now);
+            known.put(load.target(), load);
+            assertSums(summed, expectedLoads, now);
         }
     }
 
-    private static void assertSums(PeerLoads drawn, Map<String, Map<String, TargetLoad>> words, long now) {
+    private static void assertSums(PeerLoads summed, Map<String, Map<String, TargetLoad>> expectedLoads, long now) {
         for (int target = 0; target < 5; target++) {
             String id = "i-" + target;
-            TargetLoad expected = words.values().stream()
-                    .map(word -> word.getOrDefault(id, TargetLoad.none(id)))
+            TargetLoad expected = expectedLoads.values().stream()
+                    .map(loads -> loads.getOrDefault(id, TargetLoad.none(id)))
                     .reduce(TargetLoad.none(id), TargetLoad::plus);
-            assertThat(drawn.at(id, now)).isEqualTo(expected);
+            assertThat(summed.totalAt(id, now)).isEqualTo(expected);
         }
     }
 
-    private static LoadReport load(String relay, long sequence, TargetLoad... targets) {
+    private static LoadReport fullReport(String relay, long sequence, TargetLoad... targets) {
         return LoadReport.ofTargets(relay, sequence, true, List.of(targets), true, new ReadOffsets(0, 0, 0));
     }
 
-    private static LoadReport sent(String relay, long sequence, TargetLoad... targets) {
+    private static LoadReport incrementalReport(String relay, long sequence, TargetLoad... targets) {
         return LoadReport.ofTargets(relay, sequence, false, List.of(targets), true, new ReadOffsets(0, 0, 0));
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PlacementTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/PlacementTest.java
@@ -26,14 +26,14 @@
     private final List<Target> targets = new ArrayList<>(List.of(near, alsoNear, far));
 
     @Test
-    void theOwnFailureDomainIsPreferredWhileItIsNotBusier() {
+    void ownFailureDomainIsPreferredUnlessBusier() {
         near.onSent(new Target.RequestCost(9_000, 9_000), NOW);
 
         assertThat(chosen(0, 0)).isEqualTo("i-also-near");
     }
 
     @Test
-    void aQueueOfPrefillSendsWorkToAnotherDomain() {
+    void pendingPrefillDivertsRequestsToAnotherDomain() {
         for (int sent = 0; sent < 3; sent++) {
             near.onSent(new Target.RequestCost(9_000, 9_000), NOW);
             alsoNear.onSent(new Target.RequestCost(9_000, 9_000), NOW);
@@ -42,23 +42,26 @@
         assertThat(chosen(0, 0)).isEqualTo("i-far");
     }
 
-    /** One target hangs on half of its requests while its probe is good: it must be found by what becomes of them. */
+    /**
+     * A target hangs on half of its requests while its probe succeeds, so only the outcomes of requests reveal the
+     * failure.
+     */
     @Test
-    void aFailingTargetIsLeftAndTriedAgainAfterAWhile() {
+    void failingTargetIsAvoidedAndLaterRetried() {
         for (int failures = 0; failures < 4; failures++) {
             near.recordFailure(300, NOW);
             alsoNear.recordFailure(300, NOW);
         }
 
         assertThat(chosen(0, 0)).isEqualTo("i-far");
-        assertThat(Placement.choose(targets, onWeights(0, 0), NOW + 30_000))
+        assertThat(Placement.choose(targets, queryForWeights(0, 0), NOW + 30_000))
                 .get()
                 .extracting(choice -> choice.target().registration().failureDomain())
                 .isEqualTo("north");
     }
 
     @Test
-    void enginesWithNewWeightsArePreferred() {
+    void enginesWithNewestWeightsArePreferred() {
         far.confirmWeights("m", 2, NOW);
         near.onSent(new Target.RequestCost(9_000, 9_000), NOW);
         alsoNear.onSent(new Target.RequestCost(9_000, 9_000), NOW);
@@ -66,10 +69,10 @@
         assertThat(chosen(2, 0)).isEqualTo("i-far");
     }
 
-    /** Long after new weights were named a check must not begin on the old ones, even if no other engine is free. */
+    /** Once the time for older weights has passed, no request may start on them, even if no other engine is free. */
     @Test
-    void afterTheBoundNoRequestBeginsOnOldWeights() {
-        assertThat(Placement.choose(targets, onWeights(2, 2), NOW)).isEmpty();
+    void noRequestStartsOnWeightsOlderThanAllowed() {
+        assertThat(Placement.choose(targets, queryForWeights(2, 2), NOW)).isEmpty();
 
         near.confirmWeights("m", 2, NOW);
         near.recordFailure(4_000, NOW);
@@ -77,13 +80,13 @@
     }
 
     /**
-     * Twenty-seven relays get requests about one record within the 100 ms that it takes to hear of each other's work.
-     * All took the engine that seemed least busy, which then preempted running checks and read their prompts again,
-     * while its neighbours had nothing to do.
+     * Twenty-seven relays get requests with the same context within the 100 ms between load reports. When all of them
+     * picked the engine that seemed least busy, it preempted running requests and recomputed their prompts, while its
+     * neighbours were idle.
      */
     @ParameterizedTest
     @CsvSource({"2, 2", "5, 3", "26, 8"})
-    void relaysThatKnowTheSameDoNotAllTakeTheSameEngine(int otherRelays, int engines) {
+    void relaysWithEqualInformationSpreadOverEngines(int otherRelays, int engines) {
         List<Target> idle = IntStream.range(0, 12)
                 .mapToObj(engine -> target("i-" + engine, "north", 1))
                 .toList();
@@ -99,7 +102,7 @@
     }
 
     @Test
-    void anEngineOfTheRelaysOwnOrderIsLeftForOneThatIsLessBusy() {
+    void lessBusyEngineWinsOverRelayPreference() {
         List<Target> engines = List.of(target("i-0", "north", 1), target("i-1", "north", 1));
         PlacementQuery query = query(Hashing.of("relay-3"), 26);
         Target first = Placement.choose(engines, query, NOW).orElseThrow().target();
@@ -109,11 +112,11 @@
     }
 
     /**
-     * A server takes eight connections from all relays. Posts beyond them were reset by the server, and nobody
-     * could say whether they had run.
+     * A server accepts eight connections over all relays. When it reset further ones, it was unknown whether the POST
+     * requests on them had run.
      */
     @Test
-    void aTargetTakesNoMoreRequestsThanConnectionsAreLeft() {
+    void targetGetsNoMoreRequestsThanFreeConnections() {
         PlacementQuery two =
                 new PlacementQuery("log", "north", Optional.empty(), Optional.empty(), 0, 0, 0, 0, 0, 0, 2, Set.of());
         List<Target> one = List.of(near);
@@ -129,7 +132,7 @@
 
     @ParameterizedTest
     @CsvSource({"96, 1, 96", "96, 0, 96", "220, 27, 8", "8, 27, 1", "0, 3, 1"})
-    void eachRelayKeepsToItsPartOfTheConnections(int maximum, int relays, int expected) {
+    void connectionsAreDividedAmongRelays(int maximum, int relays, int expected) {
         assertThat(new BackendService("log", maximum, Optional.empty()).connectionsPerRelay(relays))
                 .isEqualTo(expected);
     }
@@ -151,13 +154,13 @@
     }
 
     private String chosen(long newest, long oldest) {
-        return Placement.choose(targets, onWeights(newest, oldest), NOW)
+        return Placement.choose(targets, queryForWeights(newest, oldest), NOW)
                 .orElseThrow()
                 .target()
                 .id();
     }
 
-    private static PlacementQuery onWeights(long newest, long oldest) {
+    private static PlacementQuery queryForWeights(long newest, long oldest) {
         return new PlacementQuery(
                 "llm", "north", Optional.of(ENGINE), Optional.of("m"), newest, oldest, 9_000, 0, 0, 0, 600, Set.of());
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/ReportScheduleTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 
 class ReportScheduleTest {
-    private static final int ROUNDS_OF_A_MINUTE = (int) (60_000 / ReportSchedule.ROUND_MILLIS);
+    private static final int ROUNDS_PER_MINUTE = (int) (60_000 / ReportSchedule.ROUND_MILLIS);
 
-    /** Messages a second to many relays, of the same failure domain and of others. */
-    private static final int MOST_A_SECOND = 100;
+    /** Maximum number of messages a second to a large fleet, in the same failure domain and in others. */
+    private static final int MAX_PER_SECOND = 100;
 
     private ReportSchedule schedule = new ReportSchedule();
     private long now = 100_000;
@@ -40,63 +40,69 @@
         return schedule.nextRound(now);
     }
 
-    /** Guards against messages that grow with the square of the fleet, and against a relay that is told too rarely. */
+    /**
+     * Guards against a number of messages that grows with the square of the fleet, and against peers that get reports
+     * too rarely.
+     */
     @Property(tries = 60)
-    void eachRelayIsToldInTimeAndTheMessagesAreBounded(
+    void everyPeerIsReportedToOnScheduleAndMessagesAreBounded(
             @ForAll @IntRange(max = 120) int near, @ForAll @IntRange(max = 300) int far) {
         schedule = new ReportSchedule();
         register(near, far);
-        Map<String, Long> toldAt = new HashMap<>();
-        Map<String, Long> promised = new HashMap<>();
+        Map<String, Long> reportedAt = new HashMap<>();
+        Map<String, Long> announcedInterval = new HashMap<>();
         int messages = 0;
-        for (int count = 0; count < ROUNDS_OF_A_MINUTE; count++) {
+        for (int count = 0; count < ROUNDS_PER_MINUTE; count++) {
             for (ReportSchedule.Due due : round(near, far)) {
                 messages += due.relays().size();
                 for (String relay : due.relays()) {
-                    Long before = toldAt.put(relay, now);
+                    Long before = reportedAt.put(relay, now);
                     if (before != null) {
-                        assertThat(now - before).isEqualTo(promised.get(relay));
+                        assertThat(now - before).isEqualTo(announcedInterval.get(relay));
                     }
-                    promised.put(relay, due.intervalMillis());
+                    announcedInterval.put(relay, due.intervalMillis());
                 }
             }
         }
 
-        assertThat(toldAt).hasSize(near + far);
-        assertThat(messages / 60).isLessThanOrEqualTo(MOST_A_SECOND);
+        assertThat(reportedAt).hasSize(near + far);
+        assertThat(messages / 60).isLessThanOrEqualTo(MAX_PER_SECOND);
     }
 
     @Test
-    void relaysOfTheSameFailureDomainHearMoreOften() {
+    void peersInSameFailureDomainGetReportsMoreOften() {
         register(7, 26);
-        Map<String, Integer> told = new HashMap<>();
-        for (int count = 0; count < ROUNDS_OF_A_MINUTE; count++) {
-            round(7, 26).forEach(due -> due.relays().forEach(relay -> told.merge(relay, 1, Integer::sum)));
+        Map<String, Integer> reports = new HashMap<>();
+        for (int count = 0; count < ROUNDS_PER_MINUTE; count++) {
+            round(7, 26).forEach(due -> due.relays().forEach(relay -> reports.merge(relay, 1, Integer::sum)));
         }
 
-        assertThat(told.get("near-3")).isEqualTo(300);
-        assertThat(told.get("far-3")).isEqualTo(75);
+        assertThat(reports.get("near-3")).isEqualTo(300);
+        assertThat(reports.get("far-3")).isEqualTo(75);
     }
 
-    /** Guards against messages to relays that ended long ago, and against one that is never told after its start. */
+    /**
+     * Guards against messages to relays that stopped long ago, and against a peer that never gets a report after its
+     * start.
+     */
     @Test
-    void aSilentRelayIsToldNowAndThen() {
-        schedule.addRelay("silent", "here", true);
-        schedule.addRelay("heard", "here", true);
-        List<String> told = new ArrayList<>();
+    void unresponsivePeerGetsReportsRarely() {
+        schedule.addRelay("unresponsive", "here", true);
+        schedule.addRelay("live", "here", true);
+        List<String> reported = new ArrayList<>();
         for (int count = 0; count < 100; count++) {
             now += ReportSchedule.ROUND_MILLIS;
-            schedule.onReport("heard", now);
-            schedule.nextRound(now).forEach(due -> told.addAll(due.relays()));
+            schedule.onReport("live", now);
+            schedule.nextRound(now).forEach(due -> reported.addAll(due.relays()));
         }
 
-        assertThat(told.stream().filter("heard"::equals)).hasSize(100);
-        assertThat(told.stream().filter("silent"::equals)).hasSize(10);
-        assertThat(schedule.liveRelayDomains(now)).containsOnlyKeys("heard");
+        assertThat(reported.stream().filter("live"::equals)).hasSize(100);
+        assertThat(reported.stream().filter("unresponsive"::equals)).hasSize(10);
+        assertThat(schedule.liveRelayDomains(now)).containsOnlyKeys("live");
     }
 
     @Test
-    void aRelayThatIsGoneIsToldNothing() {
+    void removedPeerGetsNoReports() {
         register(1, 0);
         schedule.removeRelay("near-0");
         schedule.onReport("near-0", now);
@@ -105,28 +111,27 @@
         assertThat(schedule.isLive("near-0", now)).isFalse();
     }
 
-    /** Guards against relays that don't find each other for seconds after all of them have started again. */
+    /** Guards against relays that don't discover each other for seconds after all of them have restarted. */
     @Property(tries = 30)
-    void aRelayThatIsRegisteredLaterIsToldAtItsFirstTurnAndEachSecondThen(
-            @ForAll @IntRange(max = 40) int rounds, @ForAll boolean near) {
+    void newPeerGetsReportInFirstTurnAndEverySecondAfter(@ForAll @IntRange(max = 40) int rounds, @ForAll boolean near) {
         schedule = new ReportSchedule();
         register(7, 26);
         for (int count = 0; count < rounds; count++) {
             round(7, 26);
         }
         schedule.addRelay("later", near ? "here" : "there", near);
-        List<Long> toldAt = new ArrayList<>(List.of(now));
+        List<Long> reportedAt = new ArrayList<>(List.of(now));
         for (int count = 0; count < 50; count++) {
             for (ReportSchedule.Due due : round(7, 26)) {
                 if (due.relays().contains("later")) {
-                    toldAt.add(now);
+                    reportedAt.add(now);
                 }
             }
         }
 
-        for (int index = 1; index < toldAt.size(); index++) {
-            assertThat(toldAt.get(index) - toldAt.get(index - 1)).isLessThanOrEqualTo(1_000);
+        for (int index = 1; index < reportedAt.size(); index++) {
+            assertThat(reportedAt.get(index) - reportedAt.get(index - 1)).isLessThanOrEqualTo(1_000);
         }
-        assertThat(toldAt).hasSizeGreaterThan(4);
+        assertThat(reportedAt).hasSizeGreaterThan(4);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/RestartedTargetTest.java
@@ -15,49 +15,51 @@
 import org.junit.jupiter.api.Test;
 import org.rattanrudder.core.model.Address;
 
-/** Targets that start again under the id that they had. */
+/** Targets that restart under the same id. */
 class RestartedTargetTest {
     private static final long NOW = 1_000_000;
     private static final String ID = "i-1";
 
     private final Fleet fleet = new Fleet();
 
-    /** An entry as it stands in the log. */
-    private record Written(long startedAt, long offset, boolean draining) {
-        TargetRegistration entry() {
-            return RestartedTargetTest.entry(startedAt, draining);
+    /** A registration as written to the log. */
+    private record LogRecord(long startedAt, long offset, boolean draining) {
+        TargetRegistration registration() {
+            return RestartedTargetTest.registration(startedAt, draining);
         }
     }
 
-    private static TargetRegistration entry(long startedAt, boolean draining) {
+    private static TargetRegistration registration(long startedAt, boolean draining) {
         return new TargetRegistration(
                 ID, startedAt, "llm", new Address("10.0.0.1", 80), "north", 8, draining, Map.of("m", 1L));
     }
 
     /**
-     * A server that drained has started again. Its last words of before are written late, behind those of the new
-     * start: relays that believed them would leave the server alone for good, or send to one that is gone.
+     * A server has drained and restarted. Records of its earlier start are written late, after those of the new one:
+     * relays that applied them would send the server no requests for good, or send requests to a process that has
+     * stopped.
      */
     @Test
-    void lateWordsOfAnEarlierStartChangeNothing() {
+    void lateRecordOfEarlierStartIsIgnored() {
         fleet.onLogAvailable(0);
-        fleet.apply(ID, Optional.of(entry(7_000, false)), 4, NOW);
+        fleet.apply(ID, Optional.of(registration(7_000, false)), 4, NOW);
 
-        assertThat(fleet.apply(ID, Optional.of(entry(5_000, true)), 5, NOW)).isFalse();
+        assertThat(fleet.apply(ID, Optional.of(registration(5_000, true)), 5, NOW))
+                .isFalse();
         assertThat(fleet.activeTargets("llm", NOW)).hasSize(1);
     }
 
-    /** What was seen of a server before it crashed, and what it had to do, isn't held against the new start. */
+    /** Outcomes and load from before a server's crash must not affect the restarted one. */
     @Test
-    void aTargetThatStartedAgainHasNoPast() {
+    void restartedTargetKeepsNoState() {
         fleet.onLogAvailable(0);
-        fleet.apply(ID, Optional.of(entry(5_000, false)), 4, NOW);
+        fleet.apply(ID, Optional.of(registration(5_000, false)), 4, NOW);
         Target before = fleet.find(ID).orElseThrow();
         before.onSent(new Target.RequestCost(5_000, 5_000), NOW);
         before.recordFailure(3_000, NOW);
         before.markLoadingWeights(NOW + 60_000);
 
-        fleet.apply(ID, Optional.of(entry(7_000, false)), 5, NOW);
+        fleet.apply(ID, Optional.of(registration(7_000, false)), 5, NOW);
 
         Target after = fleet.find(ID).orElseThrow();
         assertThat(after).isNotSameAs(before);
@@ -67,49 +69,53 @@
         assertThat(after.inFlight()).isZero();
     }
 
-    /** An entry that another writer has put in a server's place names nothing; the server's next one does again. */
+    /** A record that another writer stored under a server's key removes the server until its own next registration. */
     @Test
-    void anUnreadableRecordTakesAwayJustItsTargetUntilItsNextEntry() {
+    void unreadableRecordRemovesOnlyItsTargetUntilNextRegistration() {
         fleet.onLogAvailable(0);
-        fleet.apply(ID, Optional.of(entry(5_000, false)), 4, NOW);
-        fleet.apply("i-2", Optional.of(FleetTest.entry("i-2", false)), 5, NOW);
+        fleet.apply(ID, Optional.of(registration(5_000, false)), 4, NOW);
+        fleet.apply("i-2", Optional.of(FleetTest.registration("i-2", false)), 5, NOW);
 
         fleet.onUnreadableRecord(ID, 6);
         assertThat(fleet.activeTargets("llm", NOW)).extracting(Target::id).containsExactly("i-2");
-        assertThat(fleet.apply(ID, Optional.of(entry(5_000, false)), 4, NOW)).isFalse();
+        assertThat(fleet.apply(ID, Optional.of(registration(5_000, false)), 4, NOW))
+                .isFalse();
 
-        fleet.apply(ID, Optional.of(entry(5_000, false)), 7, NOW);
+        fleet.apply(ID, Optional.of(registration(5_000, false)), 7, NOW);
         assertThat(fleet.activeTargets("llm", NOW)).hasSize(2);
     }
 
     @Test
-    void anUnreadableRecordThatIsOlderChangesNothing() {
+    void olderUnreadableRecordIsIgnored() {
         fleet.onLogAvailable(0);
-        fleet.apply(ID, Optional.of(entry(5_000, false)), 4, NOW);
+        fleet.apply(ID, Optional.of(registration(5_000, false)), 4, NOW);
 
         fleet.onUnreadableRecord(ID, 3);
 
         assertThat(fleet.activeTargets("llm", NOW)).hasSize(1);
     }
 
-    /** In whatever order entries of several starts are seen, also twice, relays end with the newest start's last. */
+    /**
+     * In whatever order the records of several starts are read, even repeatedly, relays end up with the last one of the
+     * newest start.
+     */
     @Property(tries = 500)
-    void theNewestStartsLastEntryHoldsInAnyOrder(@ForAll("writtenInAnyOrder") List<Written> seen) {
+    void newestRegistrationOfNewestStartWinsInAnyOrder(@ForAll("recordsInAnyOrder") List<LogRecord> records) {
         Fleet relay = new Fleet();
         relay.onLogAvailable(0);
-        seen.forEach(written -> relay.apply(ID, Optional.of(written.entry()), written.offset(), NOW));
-        Written last = seen.stream()
-                .max(Comparator.comparingLong(Written::startedAt).thenComparingLong(Written::offset))
+        records.forEach(record -> relay.apply(ID, Optional.of(record.registration()), record.offset(), NOW));
+        LogRecord last = records.stream()
+                .max(Comparator.comparingLong(LogRecord::startedAt).thenComparingLong(LogRecord::offset))
                 .orElseThrow();
 
-        assertThat(relay.find(ID).orElseThrow().registration()).isEqualTo(last.entry());
+        assertThat(relay.find(ID).orElseThrow().registration()).isEqualTo(last.registration());
     }
 
     @Provide
-    Arbitrary<List<Written>> writtenInAnyOrder() {
+    Arbitrary<List<LogRecord>> recordsInAnyOrder() {
         Arbitrary<Long> starts = Arbitraries.longs().between(1, 4);
         return Combinators.combine(starts, Arbitraries.of(true, false))
-                .as((start, draining) -> new Written(start, 0, draining))
+                .as((start, draining) -> new LogRecord(start, 0, draining))
                 .list()
                 .ofMinSize(1)
                 .ofMaxSize(8)
@@ -117,9 +123,9 @@
                 .flatMap(log -> Arbitraries.of(log).list().ofMinSize(1).ofMaxSize(16));
     }
 
-    private static List<Written> atOffsets(List<Written> log) {
+    private static List<LogRecord> atOffsets(List<LogRecord> log) {
         return java.util.stream.IntStream.range(0, log.size())
-                .mapToObj(offset -> new Written(
+                .mapToObj(offset -> new LogRecord(
                         log.get(offset).startedAt(), offset, log.get(offset).draining()))
                 .toList();
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/SendWindowTest.java
@@ -15,7 +15,10 @@
     private static final EngineTraits ENGINE = new EngineTraits(128, 65_000, 18_432, 180_000);
     private static final long NOW = 10_000;
 
-    /** Prompts pile up in an engine's memory, running ones are preempted and read again, and it never recovers. */
+    /**
+     * Without limits, prompts fill an engine's memory, running requests are preempted and recomputed, and it never
+     * recovers.
+     */
     @ParameterizedTest
     @CsvSource({
         "0, 0, false, true",
@@ -26,19 +29,19 @@
         "4, 1000, true, true",
         "5, 1000, true, false",
     })
-    void anEngineTakesWhatItHasRoomFor(int running, int unread, boolean late, boolean expected) {
+    void engineAcceptsRequestsUpToItsLimits(int running, int prefill, boolean late, boolean expected) {
         Target target = PlacementTest.target("i-1", "north", 1);
         for (int sent = 0; sent < running; sent++) {
-            target.onSent(new Target.RequestCost(9_000, unread), NOW);
+            target.onSent(new Target.RequestCost(9_000, prefill), NOW);
         }
 
         assertThat(SendWindow.targetsWithRoom(List.of(target), ENGINE, 9_000, late, NOW))
                 .hasSize(expected ? 1 : 0);
     }
 
-    /** Guards against relays that fill an engine together, since they hear late of what others place there. */
+    /** Guards against relays that overfill an engine together, since they learn late what others send there. */
     @Test
-    void anEngineOfOtherSharersIsOpenOnlyIfNoSharedOneTakesWork() {
+    void unsharedEngineIsUsedOnlyIfNoSharedOneAcceptsWork() {
         Fleet fleet = fleetOfForty();
         List<Target> engines = fleet.activeTargets("llm", NOW);
         List<Target> shared = engines.stream().filter(Target::isShared).toList();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetDialTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A quarter of the engines lose power. Connections to them stay unanswered, and for six seconds more than half of all
- * prompts waited out such a dial, nearly their whole objective, since every relay sent each prompt of that time there.
+ * A quarter of the engines lose power, and connections to them stay unanswered. When every relay kept sending prompts
+ * there, more than half of all prompts during six seconds waited for such a dial, for nearly their whole objective.
  * When one request at a time tried such an engine, 27 relays still spent 480 requests in five seconds on it.
  */
 class TargetDialTest {
@@ -21,14 +21,14 @@
 
     @ParameterizedTest
     @CsvSource({"0, false", "40, false", "81, true", "300, true"})
-    void aTargetThatDoesNotAnswerADialIsLeftAloneBeforeTheDialHasFailed(long after, boolean paused) {
+    void targetIsPausedWhileDialIsPendingForTooLong(long after, boolean paused) {
         target.onDialStarted(NOW);
 
         assertThat(target.isPaused(NOW + after)).isEqualTo(paused);
     }
 
     @Test
-    void aTargetThatCouldNotBeReachedTakesNoRequestUntilADialHasOpened() {
+    void unreachableTargetGetsNoRequestsUntilDialSucceeds() {
         target.onDialStarted(NOW);
         target.onDialFinished(false, NOW + 400);
         assertThat(target.isPaused(NOW + 401)).isTrue();
@@ -40,11 +40,11 @@
     }
 
     @Test
-    void aDialThatIsOverdueCountsAsFailedUntilItOpens() {
+    void overdueDialCountsAsFailedUntilItOpens() {
         target.onDialStarted(NOW);
         target.onDialOverdue();
         assertThat(target.isUnreachable()).isTrue();
-        assertThat(target.isRedialDue()).as("one is under way").isFalse();
+        assertThat(target.isRedialDue()).as("a dial is pending").isFalse();
 
         target.onDialFinished(true, NOW + 300);
 
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aTargetThatIsReachedAgainTakesWorkAtOnce() {
+    void targetThatIsReachableAgainAcceptsRequestsAtOnce() {
         target.onDialStarted(NOW);
         target.onDialFinished(false, NOW + 400);
         assertThat(target.isRedialDue()).isTrue();
@@ -65,9 +65,9 @@
         assertThat(target.isPaused(NOW + 704)).isFalse();
     }
 
-    /** An answer on an older connection says more than a dial: the target may be out of connections. */
+    /** A response on an existing connection outweighs a failed dial: the target may have run out of connections. */
     @Test
-    void aTargetThatAnswersIsThere() {
+    void responseMarksTargetReachable() {
         target.onDialStarted(NOW);
         target.onDialFinished(false, NOW + 1);
 
@@ -79,7 +79,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 250", "2, 500", "3, 1000", "4, 2000", "9, 2000"})
-    void dialsThatFailGrowRarer(int failed, long millis) {
+    void redialDelayGrowsWithConsecutiveFailures(int failed, long millis) {
         for (int dial = 0; dial < failed; dial++) {
             target.onDialStarted(NOW);
             target.onDialFinished(false, NOW);
@@ -88,22 +88,24 @@
         assertThat(target.redialDelayMillis()).isEqualTo(millis);
     }
 
-    /** Others say that a target is gone: each relay looks for itself, but not over and over. */
+    /** Peers report a target as unreachable: each relay probes it itself, but not repeatedly. */
     @Test
-    void aTargetIsDialledOnSuspicionOnlyIfThatTellsSomethingNew() {
+    void probeIsUsefulOnlyIfNotDialledRecently() {
         assertThat(target.isProbeUseful(NOW)).isTrue();
         target.onDialStarted(NOW);
-        assertThat(target.isProbeUseful(NOW + 1)).as("under way").isFalse();
+        assertThat(target.isProbeUseful(NOW + 1)).as("dial pending").isFalse();
         target.onDialFinished(true, NOW + 1);
-        assertThat(target.isProbeUseful(NOW + 400)).as("seen lately").isFalse();
+        assertThat(target.isProbeUseful(NOW + 400)).as("dialled recently").isFalse();
         assertThat(target.isProbeUseful(NOW + 501)).isTrue();
         target.onDialStarted(NOW + 501);
         target.onDialFinished(false, NOW + 502);
-        assertThat(target.isProbeUseful(NOW + 9_000)).as("known to be gone").isFalse();
+        assertThat(target.isProbeUseful(NOW + 9_000))
+                .as("known to be unreachable")
+                .isFalse();
     }
 
     @Test
-    void aRefusalOutlastsADialThatSucceeds() {
+    void rejectionPauseOutlastsSuccessfulDial() {
         target.onRejected(NOW);
         target.onDialStarted(NOW + 1);
         target.onDialFinished(true, NOW + 2);
@@ -111,16 +113,16 @@
         assertThat(target.isPaused(NOW + 3)).isTrue();
     }
 
-    /** A relay on a squeezed link sees every dial take 200 ms; were it to give up after 100 it would serve nobody. */
+    /** On an overloaded link every dial takes 200 ms; a relay that gave up after 100 ms could serve no requests. */
     @Property
-    void aRelayThatReachesAllTargetsSlowlyWaitsLonger(@ForAll @IntRange(min = 0, max = 400) int usual) {
-        DialTimeout patience = new DialTimeout();
-        assertThat(patience.millis()).isEqualTo(DialTimeout.LEAST_MILLIS);
+    void dialTimeoutGrowsWithDialTimes(@ForAll @IntRange(min = 0, max = 400) int dialMillis) {
+        DialTimeout timeout = new DialTimeout();
+        assertThat(timeout.millis()).isEqualTo(DialTimeout.MIN_MILLIS);
         for (int dial = 0; dial < 40; dial++) {
-            patience.recordOpened(usual);
+            timeout.recordOpened(dialMillis);
         }
 
-        assertThat(patience.millis()).isBetween(DialTimeout.LEAST_MILLIS, DialTimeout.MAX_MILLIS);
-        assertThat(patience.millis()).isGreaterThanOrEqualTo(Math.min(DialTimeout.MAX_MILLIS, usual));
+        assertThat(timeout.millis()).isBetween(DialTimeout.MIN_MILLIS, DialTimeout.MAX_MILLIS);
+        assertThat(timeout.millis()).isGreaterThanOrEqualTo(Math.min(DialTimeout.MAX_MILLIS, dialMillis));
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetSharingTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/fleet/TargetSharingTest.java
@@ -13,7 +13,7 @@
 import org.rattanrudder.core.routing.Hashing;
 
 class TargetSharingTest {
-    private static final int MOST = TargetSharing.NEAR + TargetSharing.FAR;
+    private static final int MAX_SHARERS = TargetSharing.MAX_NEAR_SHARERS + TargetSharing.FAR_SHARERS;
 
     private static Map<String, String> relays(int count, int domains) {
         Map<String, String> relays = new HashMap<>();
@@ -25,44 +25,49 @@
 
     private static TargetSharing sharing(String self, Map<String, String> relays) {
         TargetSharing sharing = new TargetSharing();
-        sharing.relays(self, relays);
+        sharing.updateRelays(self, relays);
         return sharing;
     }
 
-    /** Guards against relays that think of each other's shares differently, so that nobody is told of a placement. */
+    /**
+     * Guards against relays that disagree on the sharers of a target, so that a request isn't reported to all of them.
+     */
     @Property(tries = 100)
-    void allRelaysWorkOutTheSameShares(
+    void allRelaysComputeSameSharers(
             @ForAll @IntRange(min = 1, max = 60) int count,
             @ForAll @IntRange(min = 1, max = 6) int domains,
             @ForAll @IntRange(max = 7) int targetDomain,
             @ForAll long target) {
         Map<String, String> relays = relays(count, domains);
         String domain = "domain-" + targetDomain;
-        Set<String> owners = new HashSet<>();
+        Set<String> sharers = new HashSet<>();
         for (String relay : relays.keySet()) {
-            if (sharing(relay, relays).isOwn(target, domain)) {
-                owners.add(relay);
+            if (sharing(relay, relays).isShared(target, domain)) {
+                sharers.add(relay);
             }
         }
 
-        assertThat(owners).hasSizeBetween(Math.min(count, TargetSharing.LEAST), Math.max(TargetSharing.FEW, MOST));
+        assertThat(sharers)
+                .hasSizeBetween(
+                        Math.min(count, TargetSharing.MIN_SHARERS),
+                        Math.max(TargetSharing.MAX_RELAYS_SHARING_ALL, MAX_SHARERS));
         for (String relay : relays.keySet()) {
-            Set<String> others = new HashSet<>(owners);
+            Set<String> others = new HashSet<>(sharers);
             others.remove(relay);
-            assertThat(sharing(relay, relays).others(target, domain)).isEqualTo(others);
+            assertThat(sharing(relay, relays).otherSharers(target, domain)).isEqualTo(others);
         }
     }
 
-    /** Guards against a relay that is left with no target, or with few, while its own failure domain is lost. */
+    /** Guards against a relay that is left with few targets or none when its own failure domain is down. */
     @Property(tries = 20)
-    void aRelaySharesTargetsInSeveralFailureDomains(@ForAll @IntRange(min = 10, max = 60) int count) {
+    void relaySharesTargetsInSeveralFailureDomains(@ForAll @IntRange(min = 10, max = 60) int count) {
         Map<String, String> relays = relays(count, 5);
         for (String relay : relays.keySet()) {
             TargetSharing sharing = sharing(relay, relays);
             Set<String> domains = new HashSet<>();
             for (int target = 0; target < 3 * count; target++) {
                 String domain = "domain-" + target % 5;
-                if (sharing.isOwn(Hashing.of("target-" + target), domain)) {
+                if (sharing.isShared(Hashing.of("target-" + target), domain)) {
                     domains.add(domain);
                 }
             }
@@ -71,27 +76,27 @@
     }
 
     @Test
-    void fewRelaysShareAllTargets() {
-        TargetSharing sharing = sharing("relay-0", relays(TargetSharing.FEW, 3));
+    void smallFleetSharesAllTargets() {
+        TargetSharing sharing = sharing("relay-0", relays(TargetSharing.MAX_RELAYS_SHARING_ALL, 3));
 
-        assertThat(sharing.isOwn(7, "elsewhere")).isTrue();
-        assertThat(sharing.others(7, "elsewhere")).hasSize(TargetSharing.FEW - 1);
+        assertThat(sharing.isShared(7, "elsewhere")).isTrue();
+        assertThat(sharing.otherSharers(7, "elsewhere")).hasSize(TargetSharing.MAX_RELAYS_SHARING_ALL - 1);
     }
 
     @Test
-    void sharesFollowTheRelaysThatAreThere() {
+    void sharersFollowRelayChanges() {
         TargetSharing sharing = sharing("relay-0", relays(40, 5));
         long before = sharing.version();
-        Set<String> told = sharing.others(7, "domain-2");
+        Set<String> sharers = sharing.otherSharers(7, "domain-2");
 
-        sharing.relays("relay-0", relays(40, 5));
+        sharing.updateRelays("relay-0", relays(40, 5));
         assertThat(sharing.version()).isEqualTo(before);
 
-        Map<String, String> left = relays(40, 5);
-        left.keySet().removeAll(told);
-        sharing.relays("relay-0", left);
+        Map<String, String> remaining = relays(40, 5);
+        remaining.keySet().removeAll(sharers);
+        sharing.updateRelays("relay-0", remaining);
 
         assertThat(sharing.version()).isNotEqualTo(before);
-        assertThat(sharing.others(7, "domain-2")).doesNotContainAnyElementsOf(told);
+        assertThat(sharing.otherSharers(7, "domain-2")).doesNotContainAnyElementsOf(sharers);
     }
 }
