--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/DesiredVersions.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/DesiredVersions.java
@@ -8,68 +8,68 @@
 import java.util.TreeMap;
 
 /**
- * The versions of each model's weights that were named, and since when.
+ * The desired versions of each model's weights, and since when each has been desired.
  *
- * <p>No request may begin on older weights a while after newer ones were named. Two things would stretch that time. A
- * relay that was restarted or frozen would count from a later moment than the others; relays therefore tell each other
- * for how long they have known a version, and the longest counts. Where all of them lost power nobody can tell: a
- * version that is found at the start counts as named long ago until another relay says since when. And a version named
- * in between would begin the time anew, were only the newest one remembered; each version keeps its own time.
+ * <p>Some time after a newer version became desired, no request may start on older weights. Three faults would extend
+ * that time. A relay that was restarted or frozen would count from a later moment than the others; relays therefore
+ * exchange for how long they have known a version, and the longest time counts. If all relays lost power, none of them
+ * knows the time: a version that is found at startup counts as desired long ago until a peer reports since when. And if
+ * only the newest version were remembered, each new one would restart the time; each version therefore has its own.
  *
- * <p>Times are milliseconds of a steady clock.
+ * <p>Times are milliseconds of a monotonic clock.
  */
 public final class DesiredVersions {
-    /** Versions of a model that are remembered: older ones are beyond every bound. */
-    private static final int REMEMBERED = 16;
+    /** Maximum number of remembered versions per model; older ones are past every time limit. */
+    private static final int MAX_VERSIONS = 16;
 
-    /** Since when a version was named of which that isn't known: longer ago than any time allowed. */
+    /** The time of a version whose true time is unknown: longer ago than any time limit. */
     private static final long LONG_AGO = Long.MIN_VALUE / 2;
 
     private final Map<String, TreeMap<Long, Long>> sinceByModel = new HashMap<>();
 
     /**
-     * A version that was named.
+     * A desired version of a model's weights.
      *
      * @param model the model
      * @param version the version
-     * @param sinceMillis when it was named at the latest
+     * @param sinceMillis when it became desired at the latest
      */
     public record DesiredVersion(String model, long version, long sinceMillis) {}
 
-    /** Notes a version that was named just now; returns whether it is newer than what was known. */
+    /** Adds a version that has just become desired; returns whether it is the newest. */
     public boolean addDesired(String model, long version, long nowMillis) {
-        return note(model, version, nowMillis);
+        return add(model, version, nowMillis);
     }
 
     /**
-     * Notes a version that had been named before this relay was there; returns whether it is newer than what was known.
-     * All relays lost power six seconds after a naming and counted anew when they were back: requests began on old
-     * weights 14 s after the naming, where 10 s were allowed.
+     * Adds a version that became desired before this relay started; returns whether it is the newest. When all relays
+     * lost power six seconds after a change of the desired version and restarted the time on their return, requests
+     * started on old weights 14 s after the change, where 10 s were allowed.
      */
     public boolean addFoundAtStart(String model, long version) {
-        return note(model, version, LONG_AGO);
+        return add(model, version, LONG_AGO);
     }
 
-    private boolean note(String model, long version, long sinceMillis) {
+    private boolean add(String model, long version, long sinceMillis) {
         TreeMap<Long, Long> versions = sinceByModel.computeIfAbsent(model, unseen -> new TreeMap<>());
         boolean newest = versions.isEmpty() || versions.lastKey() < version;
         versions.putIfAbsent(version, sinceMillis);
-        if (versions.size() > REMEMBERED) {
+        if (versions.size() > MAX_VERSIONS) {
             versions.pollFirstEntry();
         }
         return newest;
     }
 
-    /** Notes for how long another relay has known a version, if an equal or newer one is known here. */
+    /** Applies for how long a peer has known a version, if the same or a newer version is known here. */
     public void applyPeerAge(String model, long version, long ageMillis, long nowMillis) {
         TreeMap<Long, Long> versions = sinceByModel.get(model);
-        // A version is only taken over from the store; of those before it the relay may have read nothing.
+        // New versions are accepted only from the store. Of versions before them the relay may have read no record.
         if (versions != null && versions.lastKey() >= version) {
             versions.merge(version, nowMillis - ageMillis, DesiredVersions::earlier);
         }
     }
 
-    /** Returns the earlier time, or the one that is known. */
+    /** Returns the earlier time, or the other one if the first is unknown. */
     private static long earlier(long one, long other) {
         if (one == LONG_AGO) {
             return other;
@@ -77,30 +77,34 @@
         return Math.min(one, other);
     }
 
-    /** Returns the newest version of a model; 0 if none was named. */
+    /** Returns the newest desired version of a model; 0 if there is none. */
     public long newest(String model) {
         TreeMap<Long, Long> versions = sinceByModel.get(model);
         return versions == null ? 0 : versions.lastKey();
     }
 
-    /** Returns the oldest version on which a request may begin, when newer ones are allowed that much time. */
+    /**
+     * Returns the oldest version on which a request may start.
+     *
+     * @param allowedMillis how long older versions may be used after a newer one became desired
+     */
     public long oldestAllowed(String model, long allowedMillis, long nowMillis) {
         TreeMap<Long, Long> versions = sinceByModel.getOrDefault(model, new TreeMap<>());
         return versions.descendingMap().entrySet().stream()
-                .filter(named -> nowMillis - named.getValue() >= allowedMillis)
+                .filter(version -> nowMillis - version.getValue() >= allowedMillis)
                 .map(Map.Entry::getKey)
                 .findFirst()
                 .orElse(0L);
     }
 
-    /** Returns the only model that has named versions; empty if there are none or several. */
+    /** Returns the only model with desired versions; empty if there are none or several. */
     public Optional<String> onlyModel() {
         return sinceByModel.size() == 1
                 ? Optional.of(sinceByModel.keySet().iterator().next())
                 : Optional.empty();
     }
 
-    /** Returns the versions that are remembered and of which it is known since when. */
+    /** Returns the remembered versions for which the time is known. */
     public List<DesiredVersion> versionsWithKnownAge() {
         List<DesiredVersion> all = new ArrayList<>();
         sinceByModel.forEach((model, versions) -> versions.forEach((version, since) -> {
@@ -111,7 +115,7 @@
         return all;
     }
 
-    /** Returns the models that have named versions. */
+    /** Returns the models that have desired versions. */
     public List<String> models() {
         return List.copyOf(sinceByModel.keySet());
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/LeaseRecord.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/LeaseRecord.java
@@ -3,13 +3,12 @@
 import java.util.List;
 
 /**
- * A record by which a holder takes or renews the lease; its offset in the log is the fencing token.
+ * A log record that acquires or renews the lease; its log offset is the fencing token.
  *
- * @param holder the process that wrote it, another one after each start
- * @param loading incarnations of engines that are loading weights by its orders
+ * @param holder the process that wrote it; a restarted process has another name
+ * @param loading ids of the engines that are loading weights by order of the holder
  */
 public record LeaseRecord(String holder, List<String> loading) {
-    /** Takes a copy of the incarnations. */
     public LeaseRecord {
         loading = List.copyOf(loading);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/OrderLease.java
@@ -1,32 +1,33 @@
 package org.rattanrudder.core.rollout;
 
 /**
- * The lease of the one process that gives orders to engines, kept as a log of its own.
+ * The lease of the one process that sends orders to engines, kept as a log of its own.
  *
- * <p>A record is appended only at the end that its writer has read, so of two writers one fails. Its holder may give
- * orders for {@link #LEASE_MILLIS} from when it sent the append. Everybody else waits that long, and the time in which
- * two holders may not take turns, from when it read the record. A holder that stood still for a while doesn't notice by
- * the steady clock: the wall clock's run is compared too, and a holder that finds a gap drops its lease.
+ * <p>A record is appended only at the end of the log that its writer has read, so that only one of two concurrent
+ * writers succeeds. The holder may send orders for {@link #LEASE_MILLIS} from when it sent the append. Other processes
+ * wait for that time plus the handover time, counted from when they read the record. The monotonic clock may not
+ * advance while a process is suspended, so the elapsed wall clock time is compared as well: a holder that was suspended
+ * loses its lease.
  *
- * <p>Times are milliseconds of a steady clock.
+ * <p>Times are milliseconds of a monotonic clock.
  */
 public final class OrderLease {
-    /** How long a record allows orders: renewing costs a write, and a dead holder delays a rollout by as much. */
+    /** Duration of the lease: each renewal costs a write, and a crashed holder delays a rollout by this time. */
     public static final long LEASE_MILLIS = 1_200;
 
-    /** When this much is left, the holder renews: an append takes some ms, and hundreds when the log is slow. */
+    /** The holder renews when this much time is left: an append takes some ms, or hundreds when the log is slow. */
     public static final long RENEW_BEFORE_EXPIRY_MILLIS = 600;
 
-    /** What clocks and reads may differ by when a lease is waited out, in ms. */
-    private static final long MARGIN_MILLIS = 300;
+    /** Margin for clock drift and read delays when waiting for a lease to expire. */
+    private static final long CLOCK_MARGIN_MILLIS = 300;
 
-    /** A wall clock that ran this much ahead of the steady clock means that the process stood still, in ms. */
-    private static final long STOOD_STILL_MILLIS = 200;
+    /** If the wall clock is ahead of the monotonic clock by this much, the process was suspended. */
+    private static final long PAUSE_DETECTION_MILLIS = 200;
 
     private final String self;
-    private final long turnMillis;
+    private final long handoverMillis;
     private long end;
-    private boolean known;
+    private boolean endKnown;
     private String lastHolder = "";
     private long lastReadAt = Long.MIN_VALUE / 2;
     private long fencingToken = -1;
@@ -34,23 +35,23 @@
     private long heldUntilWall = Long.MIN_VALUE / 2;
 
     /**
-     * Makes the state of a process that holds nothing.
+     * Creates the state of a process that doesn't hold the lease.
      *
-     * @param self its name, another one after each start
-     * @param turnMillis the time in which two holders may not both give orders
+     * @param self its name; a restarted process has another name
+     * @param handoverMillis the minimum time between the orders of two holders
      */
-    public OrderLease(String self, long turnMillis) {
+    public OrderLease(String self, long handoverMillis) {
         this.self = self;
-        this.turnMillis = turnMillis;
+        this.handoverMillis = handoverMillis;
     }
 
-    /** Notes that all records before an offset were read. */
+    /** Records that all records before an offset were read. */
     public void advanceTo(long newEnd) {
         end = Math.max(end, newEnd);
-        known = true;
+        endKnown = true;
     }
 
-    /** Notes a record that was read. */
+    /** Handles a record that was read. */
     public void onRecord(long offset, LeaseRecord record, long nowMillis) {
         advanceTo(offset + 1);
         if (!record.holder().equals(self)) {
@@ -62,24 +63,24 @@
         }
     }
 
-    /** Returns whether an append is due: to take the lease, or to renew it. */
+    /** Returns whether to append a record, to acquire or renew the lease. */
     public boolean shouldAppend(long nowMillis) {
-        if (!known) {
+        if (!endKnown) {
             return false;
         }
         if (nowMillis < heldUntil) {
             return heldUntil - nowMillis < RENEW_BEFORE_EXPIRY_MILLIS;
         }
-        boolean waited = nowMillis - lastReadAt > LEASE_MILLIS + turnMillis + MARGIN_MILLIS;
+        boolean waited = nowMillis - lastReadAt > LEASE_MILLIS + handoverMillis + CLOCK_MARGIN_MILLIS;
         return lastHolder.isEmpty() || waited;
     }
 
-    /** Returns the offset at which an append must land to count. */
+    /** Returns the offset at which the next append must be written to be valid. */
     public long appendOffset() {
         return end;
     }
 
-    /** Notes that an append of ours landed. */
+    /** Handles a successful append of this process. */
     public void onAppended(long offset, long sentAtMillis, long sentAtWallMillis) {
         advanceTo(offset + 1);
         fencingToken = offset;
@@ -87,21 +88,21 @@
         heldUntilWall = sentAtWallMillis + LEASE_MILLIS;
     }
 
-    /** Notes that an append of ours didn't land where it had to: others wrote. */
+    /** Handles a failed append: another process has written a record at the expected offset. */
     public void onConflict() {
-        known = false;
+        endKnown = false;
         heldUntil = Long.MIN_VALUE / 2;
     }
 
-    /** Returns whether orders may be given now. */
+    /** Returns whether this process may send orders now. */
     public boolean isHeld(long nowMillis, long wallMillis) {
-        long left = heldUntil - nowMillis;
-        return left > 0
-                && heldUntilWall - wallMillis > -STOOD_STILL_MILLIS
+        long remaining = heldUntil - nowMillis;
+        return remaining > 0
+                && heldUntilWall - wallMillis > -PAUSE_DETECTION_MILLIS
                 && heldUntilWall - wallMillis < 2 * LEASE_MILLIS;
     }
 
-    /** Returns the fencing token of the lease that was last held; -1 if none was. */
+    /** Returns the fencing token of the lease that was held last; -1 if none was. */
     public long fencingToken() {
         return fencingToken;
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlanner.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/RolloutPlanner.java
@@ -9,57 +9,58 @@
 import java.util.Set;
 
 /**
- * Picks the engines that load the newest weights next.
+ * Selects the engines that load the newest weights next.
  *
- * <p>Loads slow each other down beyond a number at once, and an engine that loads serves nobody, so as many are
- * ordered as load at full speed, and the next as soon as one of them is done. Runs go on across the load: if they had
- * to end first, an engine would stand by for longer than it loads.
+ * <p>Concurrent loads beyond a limit slow each other down, and an engine serves no requests while it loads. So only as
+ * many engines are ordered as can load at full speed, and the next one as soon as one of them is done. Running requests
+ * continue across the load: if they had to finish first, an engine would be idle for longer than it loads.
  *
- * <p>An engine counts as loading until it serves the version, or until its order must be taken for lost. One whose
- * order got no answer may load at any time or never: it doesn't keep others waiting. Those with the oldest weights go
- * first, since their time runs out first, and then those with the least work.
+ * <p>An engine counts as loading until it serves the version, or until its order times out. An engine whose order got
+ * no response may load at any time or never, so it doesn't count against the limit. Engines with the oldest weights go
+ * first, since the time for which these may be used ends first, then those with the fewest requests.
  */
 public final class RolloutPlanner {
     /**
-     * When an order that was taken, but whose effect isn't seen, is given again, in ms. Loads take one or two seconds,
-     * and some times that when many engines load.
+     * When an order that was accepted but shows no effect is sent again. Loads take one or two seconds, and a multiple
+     * of that when many engines load.
      */
     public static final long ORDER_TIMEOUT_MILLIS = 6_000;
 
     /**
-     * When an order that got no answer is given again, in ms. It may be carried out seconds later; the precondition on
-     * the engine's count of orders keeps a repeat harmless.
+     * When an order that got no response is sent again. The engine may still execute the first one seconds later; the
+     * precondition on the engine's order count makes the second one harmless.
      */
-    static final long UNANSWERED_MILLIS = 2_000;
+    static final long UNANSWERED_TIMEOUT_MILLIS = 2_000;
 
     /**
-     * The part of a service's engines that may load at once, and the least number. Weights come from a store whose rate
-     * grows with the service: two of six or eight engines load without slowing each other, ten of 35, eleven of 40.
+     * The share of a service's engines that may load concurrently. Weights come from a store whose rate grows with the
+     * service: two of six or eight engines load without slowing each other down, ten of 35, eleven of 40.
      */
-    private static final double LOADING_SHARE = 0.28;
+    private static final double MAX_LOADING_SHARE = 0.28;
 
-    private static final int LEAST_LOADING = 2;
+    private static final int MIN_LOADING = 2;
 
     private final Map<String, Order> orders = new HashMap<>();
 
     /**
-     * An engine as the plan sees it.
+     * An engine as the planner sees it.
      *
-     * @param id its incarnation
+     * @param id the id of its incarnation
      * @param weights the version that it serves; 0 if unknown
-     * @param inFlight the requests that it works on, as far as known
+     * @param inFlight the number of its requests, as far as known
      */
     public record Engine(String id, long weights, int inFlight) {}
 
-    /** An order that was given, for which version and when, and whether the engine has taken it as far as known. */
-    private record Order(long version, long givenAtMillis, boolean unanswered) {
-        boolean mayLoad(Engine engine, long nowMillis) {
-            long waited = nowMillis - givenAtMillis;
-            return engine.weights() < version && waited < (unanswered ? UNANSWERED_MILLIS : ORDER_TIMEOUT_MILLIS);
+    /** An order that was sent: its version, when it was sent, and whether it got no response. */
+    private record Order(long version, long sentAtMillis, boolean unanswered) {
+        boolean isPending(Engine engine, long nowMillis) {
+            long waited = nowMillis - sentAtMillis;
+            return engine.weights() < version
+                    && waited < (unanswered ? UNANSWERED_TIMEOUT_MILLIS : ORDER_TIMEOUT_MILLIS);
         }
     }
 
-    /** Returns the engines of one service to order now, at most as many as may load beside those that already do. */
+    /** Returns the engines of one service to order now, without exceeding the limit on concurrent loads. */
     public List<Engine> nextEngines(List<Engine> engines, long newest, long nowMillis) {
         Set<String> present = new HashSet<>();
         int loading = 0;
@@ -67,7 +68,7 @@
         for (Engine engine : engines) {
             present.add(engine.id());
             Order order = orders.get(engine.id());
-            if (order != null && order.mayLoad(engine, nowMillis)) {
+            if (order != null && order.isPending(engine, nowMillis)) {
                 loading += order.unanswered() ? 0 : 1;
             } else if (engine.weights() < newest) {
                 waiting.add(engine);
@@ -77,21 +78,21 @@
         waiting.sort(Comparator.comparingLong(Engine::weights)
                 .thenComparingInt(Engine::inFlight)
                 .thenComparing(Engine::id));
-        int room = Math.max(LEAST_LOADING, (int) (engines.size() * LOADING_SHARE)) - loading;
+        int room = Math.max(MIN_LOADING, (int) (engines.size() * MAX_LOADING_SHARE)) - loading;
         return List.copyOf(waiting.subList(0, Math.min(waiting.size(), Math.max(0, room))));
     }
 
-    /** Notes that an engine is being ordered. */
+    /** Records that an order is being sent to an engine. */
     public void onOrdered(String id, long version, long nowMillis) {
         orders.put(id, new Order(version, nowMillis, false));
     }
 
-    /** Notes that an order got no answer. */
+    /** Records that an order got no response. */
     public void onUnanswered(String id) {
-        orders.computeIfPresent(id, (same, order) -> new Order(order.version(), order.givenAtMillis(), true));
+        orders.computeIfPresent(id, (same, order) -> new Order(order.version(), order.sentAtMillis(), true));
     }
 
-    /** Notes that an engine refused its order or didn't carry it out, so that it can be ordered again. */
+    /** Records that an engine refused or failed to execute its order, so that it can be ordered again. */
     public void onRefused(String id) {
         orders.remove(id);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/rollout/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Brings engines to the newest weights: who gives the orders, and which engine gets one next.
+ * Brings engines to the newest weights: which relay sends the orders, and which engine gets the next one.
  *
- * <p>{@link org.rattanrudder.core.rollout.RolloutPlanner} is the front class.
+ * <p>{@link org.rattanrudder.core.rollout.RolloutPlanner} is the entry point.
  */
 package org.rattanrudder.core.rollout;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/DesiredVersionsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/DesiredVersionsTest.java
@@ -7,17 +7,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.rattanrudder.core.rollout.DesiredVersions.DesiredVersion;
 
-class NamedVersionsTest {
+class DesiredVersionsTest {
     private static final long ALLOWED = 13_000;
 
     private final DesiredVersions versions = new DesiredVersions();
 
     /**
-     * Weights are named, a relay is restarted ten seconds later and reads of them as if they were new. It would let
-     * requests begin on old weights ten seconds longer than allowed.
+     * A relay restarts ten seconds after a version became desired and reads of it as if it were new. It would let
+     * requests start on old weights ten seconds longer than allowed.
      */
     @Test
-    void theLongestThatAnyRelayHasKnownAVersionCounts() {
+    void longestAgeOfAnyRelayCounts() {
         versions.addDesired("m", 2, 50_000);
         versions.applyPeerAge("m", 2, 10_000, 50_100);
         versions.applyPeerAge("m", 2, 3_000, 50_200);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aVersionIsTakenOnlyFromTheStore() {
+    void peersCannotAddVersions() {
         versions.addDesired("m", 2, 50_000);
         versions.applyPeerAge("m", 3, 60_000, 50_100);
         versions.applyPeerAge("other", 1, 60_000, 50_100);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void anOlderVersionNeverReplacesANewerOne() {
+    void olderVersionNeverReplacesNewerOne() {
         assertThat(versions.addDesired("m", 2, 10)).isTrue();
         assertThat(versions.addDesired("m", 1, 20)).isFalse();
         assertThat(versions.addDesired("m", 2, 30)).isFalse();
@@ -44,21 +44,21 @@
     }
 
     /**
-     * A second version is named four seconds after the first. Checks begin on the weights before both of them nineteen
-     * seconds after the first was named, since the time was counted from the second.
+     * A second version becomes desired four seconds after the first. When the time was counted from the second one,
+     * requests started on weights older than both 19 s after the first became desired.
      */
     @ParameterizedTest
     @CsvSource({"10000, 0", "22999, 0", "23000, 2", "26999, 2", "27000, 3"})
-    void eachVersionHasItsOwnTime(long now, long oldest) {
+    void ageIsCountedPerVersion(long now, long oldest) {
         versions.addDesired("m", 2, 10_000);
         versions.addDesired("m", 3, 14_000);
 
         assertThat(versions.oldestAllowed("m", ALLOWED, now)).isEqualTo(oldest);
     }
 
-    /** A relay that is started after both namings reads only the newest; the others know of the one before. */
+    /** A relay that starts after both changes reads only the newest version; its peers know the previous one. */
     @Test
-    void theTimeOfAnEarlierVersionIsLearntFromOthers() {
+    void ageOfPreviousVersionIsAcceptedFromPeers() {
         versions.addDesired("m", 3, 20_000);
         versions.applyPeerAge("m", 2, 12_500, 20_100);
 
@@ -67,20 +67,24 @@
     }
 
     /**
-     * Weights are named, six seconds later all relays lose power, and come back after two more. None of them knows
-     * since when the weights were named. A check began on the old ones 14 s after the naming, where 10 s are allowed.
+     * All relays lose power six seconds after a change of the desired version, and restart two seconds later without
+     * knowing since when it has been desired. A request started on the old weights 14 s after the change, where 10 s
+     * are allowed.
      */
     @Test
-    void whereNobodyKnowsSinceWhenAVersionCountsAsNamedLongAgo() {
+    void versionOfUnknownAgeCountsAsDesiredLongAgo() {
         versions.addFoundAtStart("m", 3);
 
         assertThat(versions.oldestAllowed("m", ALLOWED, 20)).isEqualTo(3);
         assertThat(versions.versionsWithKnownAge()).isEmpty();
     }
 
-    /** One relay of several is restarted: the others say since when, and the engines that still load may be used. */
+    /**
+     * One of several relays restarts: its peers report since when a version is desired, so it may use engines that are
+     * still loading.
+     */
     @Test
-    void whoeverKnowsSinceWhenIsBelieved() {
+    void peerAgeReplacesUnknownAge() {
         versions.addFoundAtStart("m", 3);
         versions.applyPeerAge("m", 3, 4_000, 20_000);
         versions.applyPeerAge("m", 3, 3_000, 20_000);
@@ -91,7 +95,7 @@
     }
 
     @Test
-    void aVersionThatIsNamedWhileTheRelayRunsHasItsWholeTime() {
+    void versionAddedWhileRunningStartsWithAgeZero() {
         versions.addFoundAtStart("m", 3);
         versions.addDesired("m", 4, 50_000);
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/OrderLeaseTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.api.Test;
 
 class OrderLeaseTest {
-    private static final long TURN = 3_000;
+    private static final long HANDOVER = 3_000;
 
-    /** Two relays both believe that they give the orders, and engines load two versions in turn. */
+    /** Two relays that both considered themselves holders would make engines load two versions alternately. */
     @Property
-    void twoHoldersNeverTakeTurnsWithinTheBound(
+    void twoHoldersNeverSendOrdersWithinHandoverTime(
             @ForAll @Size(max = 120) List<@IntRange(max = 5) Integer> actions,
             @ForAll @Size(min = 120, max = 120) List<@IntRange(min = 1, max = 900) Integer> pauses) {
         List<LeaseRecord> log = new ArrayList<>();
-        OrderLease[] leases = {new OrderLease("a", TURN), new OrderLease("b", TURN)};
+        OrderLease[] leases = {new OrderLease("a", HANDOVER), new OrderLease("b", HANDOVER)};
         int[] read = new int[2];
         long[] lastOrder = {Long.MIN_VALUE / 2, Long.MIN_VALUE / 2};
         long now = 0;
@@ -36,7 +36,7 @@
             }
             if (leases[who].isHeld(now, now)) {
                 lastOrder[who] = now;
-                assertThat(now - lastOrder[1 - who]).isGreaterThanOrEqualTo(TURN);
+                assertThat(now - lastOrder[1 - who]).isGreaterThanOrEqualTo(HANDOVER);
             }
         }
     }
@@ -50,10 +50,12 @@
         lease.onAppended(log.size() - 1, now, now);
     }
 
-    /** A holder stands still for seconds right before an order; the steady clock doesn't count that time. */
+    /**
+     * A holder is suspended for seconds right before it sends an order; the monotonic clock doesn't count that time.
+     */
     @Test
-    void aHolderThatStoodStillGivesNoOrders() {
-        OrderLease lease = new OrderLease("a", TURN);
+    void suspendedHolderLosesLease() {
+        OrderLease lease = new OrderLease("a", HANDOVER);
         lease.advanceTo(0);
         lease.onAppended(0, 1_000, 500_000);
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlannerTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/rollout/RolloutPlannerTest.java
@@ -7,15 +7,16 @@
 import org.junit.jupiter.api.Test;
 import org.rattanrudder.core.rollout.RolloutPlanner.Engine;
 
-class RolloutPlanTest {
+class RolloutPlannerTest {
     private final RolloutPlanner plan = new RolloutPlanner();
 
     /**
-     * Weights are named at noon. Engines that waited for their runs to end stood by for seconds, one after the other,
-     * and a quarter of the service was missing for eleven seconds: those with the least work go first and go at once.
+     * When engines waited for their running requests to end before they loaded, they were idle for seconds, one after
+     * the other, and a quarter of the service's capacity was missing for eleven seconds. Engines with the fewest
+     * requests go first and load at once.
      */
     @Test
-    void theLeastBusyGoFirstAndNoneWaitsForItsRuns() {
+    void leastBusyEnginesAreOrderedFirstWithoutDraining() {
         List<Engine> engines =
                 List.of(new Engine("a", 1, 9), new Engine("b", 1, 2), new Engine("c", 1, 5), new Engine("d", 1, 7));
 
@@ -30,11 +31,11 @@
     }
 
     /**
-     * Engines leave orders unanswered for a while and may carry them out late or never. The others must not wait for
-     * them, and they themselves are ordered again well within the time in which requests may begin on old weights.
+     * Engines may leave orders without a response and execute them late or never. Other engines must not wait for them,
+     * and they are ordered again well within the time in which requests may start on old weights.
      */
     @Test
-    void anOrderWithoutAnAnswerKeepsNobodyWaiting() {
+    void unansweredOrderDoesNotBlockOtherEngines() {
         List<Engine> engines = List.of(new Engine("a", 1, 0), new Engine("b", 1, 0), new Engine("c", 1, 0));
         plan.onOrdered("a", 2, 0);
         plan.onOrdered("b", 2, 0);
@@ -42,17 +43,17 @@
 
         assertThat(plan.nextEngines(engines, 2, 900)).extracting(Engine::id).containsExactly("c");
         plan.onOrdered("c", 2, 900);
-        assertThat(plan.nextEngines(engines, 2, RolloutPlanner.UNANSWERED_MILLIS))
+        assertThat(plan.nextEngines(engines, 2, RolloutPlanner.UNANSWERED_TIMEOUT_MILLIS))
                 .isEmpty();
 
         List<Engine> loaded = List.of(new Engine("a", 1, 0), new Engine("b", 2, 0), new Engine("c", 2, 0));
-        assertThat(plan.nextEngines(loaded, 2, RolloutPlanner.UNANSWERED_MILLIS))
+        assertThat(plan.nextEngines(loaded, 2, RolloutPlanner.UNANSWERED_TIMEOUT_MILLIS))
                 .extracting(Engine::id)
                 .containsExactly("a");
     }
 
     @Test
-    void noMoreLoadAtOnceThanAllowed() {
+    void concurrentLoadsAreLimited() {
         List<Engine> engines = List.of(new Engine("a", 1, 0), new Engine("b", 1, 0), new Engine("c", 1, 5));
         plan.onOrdered("a", 2, 0);
         plan.onOrdered("b", 2, 0);
@@ -61,7 +62,7 @@
     }
 
     @Test
-    void aLargeServiceLoadsMoreAtOnce() {
+    void limitGrowsWithNumberOfEngines() {
         List<Engine> engines = IntStream.range(0, 40)
                 .mapToObj(number -> new Engine("i-" + number, 1, 3))
                 .toList();
@@ -69,16 +70,19 @@
         assertThat(plan.nextEngines(engines, 2, 0)).hasSize(11);
     }
 
-    /** Two versions are named in a row, and engines with the first of them swap again while others serve the oldest. */
+    /**
+     * Two versions become desired in quick succession; engines with the first must not load again while others serve
+     * the oldest.
+     */
     @Test
-    void theOldestWeightsGoFirst() {
+    void enginesWithOldestWeightsAreOrderedFirst() {
         List<Engine> engines = List.of(new Engine("a", 2, 0), new Engine("b", 1, 9), new Engine("c", 1, 8));
 
         assertThat(plan.nextEngines(engines, 3, 0)).extracting(Engine::id).containsExactly("c", "b");
     }
 
     @Test
-    void anEngineThatServesTheVersionMakesRoomForTheNext() {
+    void finishedEngineMakesRoomForNextOne() {
         plan.onOrdered("a", 2, 0);
         plan.onOrdered("b", 2, 0);
         List<Engine> engines = List.of(new Engine("a", 2, 0), new Engine("b", 1, 0), new Engine("c", 1, 0));
@@ -86,9 +90,11 @@
         assertThat(plan.nextEngines(engines, 2, 3_000)).extracting(Engine::id).containsExactly("c");
     }
 
-    /** The answer to an order is lost and so is the order: the engine would stay on old weights for good. */
+    /**
+     * Both an order and its response are lost; without another order the engine would keep its old weights for good.
+     */
     @Test
-    void anOrderWithoutEffectIsGivenAgain() {
+    void orderWithoutEffectIsSentAgain() {
         plan.onOrdered("a", 2, 0);
         List<Engine> engines = List.of(new Engine("a", 1, 0));
 
@@ -99,7 +105,7 @@
     }
 
     @Test
-    void aVersionThatWasOvertakenIsSkipped() {
+    void supersededVersionIsSkipped() {
         plan.onOrdered("a", 2, 0);
         List<Engine> engines = List.of(new Engine("a", 2, 0), new Engine("b", 1, 0));
 
