--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/Quarantine.java
@@ -12,100 +12,105 @@
 import java.util.stream.Collectors;
 
 /**
- * Keeps a request that ends each target which runs it from further targets.
+ * Stops sending a request that crashes every target which runs it.
  *
- * <p>When a target ends, nothing tells which of its requests was the cause. The cause is there each time and is never
- * answered, while others are, before or after. So a request is quarantined if it was at several targets when they ended
- * and none has answered it of late. Other relays report what they saw, in any order, late or twice, and keep a record
- * of what is quarantined.
+ * <p>When a target crashes, it isn't known which of its requests was the cause. The cause is present at each crash and
+ * never gets a response, while other requests do, before or after. A request is therefore quarantined if it was at
+ * several targets when they crashed and has had no recent response. Relays report the crashes that they see, in any
+ * order, with delays or duplicates, and keep a shared record of each quarantined request.
  *
  * <pre>{@code
- * quarantine.crashed(crash, true, now);
- * OptionalLong left = quarantine.leftMillis(fingerprint, now);
+ * quarantine.onCrash(crash, true, now);
+ * OptionalLong remaining = quarantine.remainingMillis(fingerprint, now);
  * }</pre>
  *
- * <p>All times are milliseconds of one steady clock.
+ * <p>All times are milliseconds of a monotonic clock.
  */
 public final class Quarantine {
-    /** Ends of targets after which a request is quarantined: fewer may befall one that only ran beside the cause. */
+    /**
+     * Number of crashes after which a request is quarantined; fewer may hit a request that merely ran beside the cause.
+     */
     public static final int CRASH_THRESHOLD = 3;
 
-    /** How long a request is quarantined, and how long the last end of a target is held against it, in ms. */
+    /** How long a request is quarantined, and how long it stays suspect after its last crash. */
     public static final long QUARANTINE_MILLIS = TimeUnit.HOURS.toMillis(1);
 
-    /** How long after an answer a request isn't suspected, in ms: what many ask for is at most targets at any time. */
+    /**
+     * How long after a response a request can't become suspect: a request that many callers send is in flight at most
+     * targets at any time.
+     */
     public static final long CLEARED_MILLIS = TimeUnit.MINUTES.toMillis(1);
 
-    /** The most requests that are suspected at once; those whose last end was longest ago give way. */
-    static final int MOST_SUSPECTS = 20_000;
+    /** Maximum number of suspects; those whose last crash is oldest are evicted. */
+    static final int MAX_SUSPECTS = 20_000;
 
-    /** The most requests whose answer is remembered; those that were answered longest ago give way. */
-    static final int MOST_CLEARED = 4_000;
+    /** Maximum number of requests whose response is remembered; those with the oldest response are evicted. */
+    static final int MAX_CLEARED = 4_000;
 
-    /** By the time of the last end, the oldest first. */
+    /** Ordered by the time of the last crash, oldest first. */
     private final Map<RequestFingerprint, Suspect> suspects = new LinkedHashMap<>();
 
-    private final Map<RequestFingerprint, Held> held = new HashMap<>();
+    private final Map<RequestFingerprint, QuarantinedRequest> quarantined = new HashMap<>();
     private final Set<RequestFingerprint> recordsToRemove = new HashSet<>();
 
-    /** By the time of the last answer, the oldest first. */
+    /** Ordered by the time of the last response, oldest first. */
     private final Map<RequestFingerprint, Long> answeredAt = new LinkedHashMap<>();
 
     /** One start of a target. */
-    private record Start(String target, long startedAt) {}
+    private record TargetStart(String target, long startedAt) {}
 
     private static final class Suspect {
-        private final Set<Start> crashes = new HashSet<>();
-        private int crashesBefore;
-        private boolean seenHere;
-        private long lastAt;
+        private final Set<TargetStart> crashes = new HashSet<>();
+        private int carriedCrashes;
+        private boolean seenLocally;
+        private long lastCrashAt;
 
         int crashes() {
-            return crashesBefore + crashes.size();
+            return carriedCrashes + crashes.size();
         }
     }
 
-    private static final class Held {
-        private final long since;
-        private final boolean keepsRecord;
+    private static final class QuarantinedRequest {
+        private final long sinceMillis;
+        private final boolean ownsRecord;
         private boolean recorded;
 
-        Held(long since, boolean keepsRecord) {
-            this.since = since;
-            this.keepsRecord = keepsRecord;
+        QuarantinedRequest(long sinceMillis, boolean ownsRecord) {
+            this.sinceMillis = sinceMillis;
+            this.ownsRecord = ownsRecord;
         }
     }
 
     /**
-     * Notes the end of a target.
+     * Records the crash of a target.
      *
-     * @param seenHere whether this relay saw it itself: those that did write and remove the record
+     * @param seenLocally whether this relay saw the crash itself; relays that did write and remove the shared record
      */
-    public void onCrash(TargetCrash crash, boolean seenHere, long nowMillis) {
+    public void onCrash(TargetCrash crash, boolean seenLocally, long nowMillis) {
         for (RequestFingerprint request : suspectable(crash.requests(), nowMillis)) {
             Suspect suspect = suspect(request, crash, nowMillis);
-            suspect.seenHere |= seenHere;
+            suspect.seenLocally |= seenLocally;
             if (suspect.crashes() >= CRASH_THRESHOLD) {
                 suspects.remove(request);
-                held.put(request, new Held(nowMillis, suspect.seenHere));
+                quarantined.put(request, new QuarantinedRequest(nowMillis, suspect.seenLocally));
             }
         }
-        bound(suspects.keySet(), MOST_SUSPECTS);
+        trim(suspects.keySet(), MAX_SUSPECTS);
     }
 
     /**
-     * Notes the end of a target from before this relay was there. It quarantines nothing by itself: which requests were
-     * answered since isn't known.
+     * Records a crash from before this relay started. It doesn't quarantine a request by itself, since it isn't known
+     * which requests have had a response since.
      */
     public void onPastCrash(TargetCrash crash, long nowMillis) {
         suspectable(crash.requests(), nowMillis).forEach(request -> suspect(request, crash, nowMillis));
-        bound(suspects.keySet(), MOST_SUSPECTS);
+        trim(suspects.keySet(), MAX_SUSPECTS);
     }
 
-    /** Returns those of some requests against which the end of a target may be held. */
+    /** Returns those of the given requests that may become suspect. */
     public Set<RequestFingerprint> suspectable(Set<RequestFingerprint> requests, long nowMillis) {
         return requests.stream()
-                .filter(request -> !held.containsKey(request) && !isCleared(request, nowMillis))
+                .filter(request -> !quarantined.containsKey(request) && !isCleared(request, nowMillis))
                 .collect(Collectors.toSet());
     }
 
@@ -114,33 +119,33 @@
         return answered != null && nowMillis - answered < CLEARED_MILLIS;
     }
 
-    private static void bound(Set<RequestFingerprint> requests, int most) {
+    private static void trim(Set<RequestFingerprint> requests, int maxSize) {
         Iterator<RequestFingerprint> oldest = requests.iterator();
-        while (requests.size() > most) {
+        while (requests.size() > maxSize) {
             oldest.next();
             oldest.remove();
         }
     }
 
     private Suspect suspect(RequestFingerprint request, TargetCrash crash, long nowMillis) {
-        Suspect suspect = moved(request, nowMillis);
-        suspect.crashes.add(new Start(crash.target(), crash.startedAt()));
+        Suspect suspect = moveToEnd(request, nowMillis);
+        suspect.crashes.add(new TargetStart(crash.target(), crash.startedAt()));
         return suspect;
     }
 
-    /** Returns what is held against a request, put behind all others. */
-    private Suspect moved(RequestFingerprint request, long nowMillis) {
+    /** Returns the state of a suspect, creating it if needed, and moves it to the end of the order. */
+    private Suspect moveToEnd(RequestFingerprint request, long nowMillis) {
         Suspect known = suspects.remove(request);
         Suspect suspect = known == null ? new Suspect() : known;
-        suspect.lastAt = nowMillis;
+        suspect.lastCrashAt = nowMillis;
         suspects.put(request, suspect);
         return suspect;
     }
 
     /**
-     * Notes a record that a request is quarantined.
+     * Handles a shared record that a request is quarantined.
      *
-     * @param foundAtStart whether it was there before this relay: nobody may be left who removes it
+     * @param foundAtStart whether it was written before this relay started; the relay that should remove it may be gone
      */
     public void onRecord(RequestFingerprint request, boolean foundAtStart, long nowMillis) {
         if (recordsToRemove.contains(request)) {
@@ -151,13 +156,17 @@
             return;
         }
         suspects.remove(request);
-        Held known = held.computeIfAbsent(request, unseen -> new Held(nowMillis, foundAtStart));
+        QuarantinedRequest known =
+                quarantined.computeIfAbsent(request, unseen -> new QuarantinedRequest(nowMillis, foundAtStart));
         known.recorded = true;
     }
 
-    /** Notes that this relay has recorded a request; one that was answered meanwhile must not stay recorded. */
+    /**
+     * Handles that this relay has written the record of a request. If the request had a response meanwhile, the record
+     * has to be removed again.
+     */
     public void onRecordWritten(RequestFingerprint request) {
-        Held known = held.get(request);
+        QuarantinedRequest known = quarantined.get(request);
         if (known == null) {
             recordsToRemove.add(request);
         } else {
@@ -165,81 +174,81 @@
         }
     }
 
-    /** Notes that the record of a request was removed: it may be sent again, and the next end quarantines it anew. */
+    /** Handles the removal of a record: the request may be sent again, and its next crash quarantines it anew. */
     public void onRecordRemoved(RequestFingerprint request, long nowMillis) {
         recordsToRemove.remove(request);
-        if (held.remove(request) != null) {
-            moved(request, nowMillis).crashesBefore = CRASH_THRESHOLD - 1;
+        if (quarantined.remove(request) != null) {
+            moveToEnd(request, nowMillis).carriedCrashes = CRASH_THRESHOLD - 1;
         }
     }
 
-    /** Notes the requests of which there are records: what others have lost is written again. */
+    /** Handles a listing of all records: records that were lost are written again. */
     public void onRecordsListed(Set<RequestFingerprint> recorded) {
-        held.forEach((request, known) -> known.recorded = recorded.contains(request));
+        quarantined.forEach((request, known) -> known.recorded = recorded.contains(request));
     }
 
-    /** Notes that a target has answered a request, which so is no cause of any end. */
+    /** Records that a target responded to a request, which therefore can't be the cause of a crash. */
     public void onAnswered(RequestFingerprint request, long nowMillis) {
         answeredAt.remove(request);
         answeredAt.put(request, nowMillis);
-        bound(answeredAt.keySet(), MOST_CLEARED);
+        trim(answeredAt.keySet(), MAX_CLEARED);
         suspects.remove(request);
-        Held known = held.remove(request);
+        QuarantinedRequest known = quarantined.remove(request);
         if (known != null && known.recorded) {
             recordsToRemove.add(request);
         }
     }
 
-    /** Lets go what has been held for long enough. */
+    /** Removes suspects and quarantined requests whose time has passed. */
     public void expire(long nowMillis) {
         Iterator<Suspect> oldest = suspects.values().iterator();
-        while (oldest.hasNext() && nowMillis - oldest.next().lastAt >= QUARANTINE_MILLIS) {
+        while (oldest.hasNext() && nowMillis - oldest.next().lastCrashAt >= QUARANTINE_MILLIS) {
             oldest.remove();
         }
-        for (RequestFingerprint request : List.copyOf(held.keySet())) {
-            Held known = held.get(request);
-            if (nowMillis - known.since >= QUARANTINE_MILLIS) {
+        for (RequestFingerprint request : List.copyOf(quarantined.keySet())) {
+            QuarantinedRequest known = quarantined.get(request);
+            if (nowMillis - known.sinceMillis >= QUARANTINE_MILLIS) {
                 onRecordRemoved(request, nowMillis);
-                if (known.recorded && known.keepsRecord) {
+                if (known.recorded && known.ownsRecord) {
                     recordsToRemove.add(request);
                 }
             }
         }
     }
 
-    /** Returns for how much longer a request is quarantined, in ms; empty if it isn't. */
+    /** Returns for how much longer a request is quarantined; empty if it isn't. */
     public OptionalLong remainingMillis(RequestFingerprint request, long nowMillis) {
-        Held known = held.get(request);
+        QuarantinedRequest known = quarantined.get(request);
         return known == null
                 ? OptionalLong.empty()
-                : OptionalLong.of(Math.max(0, known.since + QUARANTINE_MILLIS - nowMillis));
+                : OptionalLong.of(Math.max(0, known.sinceMillis + QUARANTINE_MILLIS - nowMillis));
     }
 
-    /** Returns whether the next end of a target under a request would quarantine it. */
+    /** Returns whether one more crash would quarantine a request. */
     public boolean isOneCrashFromQuarantine(RequestFingerprint request) {
         Suspect suspect = suspects.get(request);
         return suspect != null && suspect.crashes() >= CRASH_THRESHOLD - 1;
     }
 
-    /** Returns whether nothing is held against any request. */
+    /** Returns whether no request is suspect or quarantined. */
     public boolean isEmpty() {
-        return suspects.isEmpty() && held.isEmpty();
+        return suspects.isEmpty() && quarantined.isEmpty();
     }
 
-    /** Returns how many requests are suspected. */
+    /** Returns the number of suspects. */
     public int suspectCount() {
         return suspects.size();
     }
 
-    /** Returns how many requests are quarantined. */
+    /** Returns the number of quarantined requests. */
     public int quarantinedCount() {
-        return held.size();
+        return quarantined.size();
     }
 
-    /** Returns the requests whose quarantine this relay has to record. */
+    /** Returns the requests whose record this relay has to write. */
     public List<RequestFingerprint> recordsToWrite() {
-        return held.entrySet().stream()
-                .filter(entry -> entry.getValue().keepsRecord && !entry.getValue().recorded)
+        return quarantined.entrySet().stream()
+                .filter(entry -> entry.getValue().ownsRecord && !entry.getValue().recorded)
                 .map(Map.Entry::getKey)
                 .toList();
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/TargetCrash.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/TargetCrash.java
@@ -3,14 +3,14 @@
 import java.util.Set;
 
 /**
- * The unplanned end of a target, as one relay saw it.
+ * The crash of a target, as seen by one relay.
  *
  * @param target the target's id
- * @param startedAt the start of it that ended, see {@link org.rattanrudder.core.fleet.TargetRegistration#startedAt()}
- * @param requests the requests of the relay that were there
+ * @param startedAt the start time of the crashed process, see {@link
+ * org.rattanrudder.core.fleet.TargetRegistration#startedAt()}
+ * @param requests the relay's requests that were in flight at the target
  */
 public record TargetCrash(String target, long startedAt, Set<RequestFingerprint> requests) {
-    /** Takes a copy of the requests. */
     public TargetCrash {
         requests = Set.copyOf(requests);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Requests that end the targets which run them: how they are known again, and for how long none is sent on. */
+/** Detects requests that crash the targets which run them, and decides for how long they aren't sent. */
 package org.rattanrudder.core.quarantine;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/QuarantineTest.java
@@ -29,110 +29,110 @@
         }
     }
 
-    private boolean isHeld(RequestFingerprint request) {
+    private boolean isQuarantined(RequestFingerprint request) {
         return quarantine.remainingMillis(request, NOW).isPresent();
     }
 
     @Test
-    void theThirdEndQuarantines() {
+    void thirdCrashQuarantinesRequest() {
         crashes(2, CAUSE);
-        assertThat(isHeld(CAUSE)).isFalse();
+        assertThat(isQuarantined(CAUSE)).isFalse();
         assertThat(quarantine.isOneCrashFromQuarantine(CAUSE)).isTrue();
 
         quarantine.onCrash(crash(2, CAUSE, OTHER), true, NOW);
 
         assertThat(quarantine.remainingMillis(CAUSE, NOW + 10)).hasValue(Quarantine.QUARANTINE_MILLIS - 10);
-        assertThat(isHeld(OTHER)).isFalse();
+        assertThat(isQuarantined(OTHER)).isFalse();
         assertThat(quarantine.recordsToWrite()).containsExactly(CAUSE);
     }
 
     @Test
-    void oneEndThatSeveralRelaysReportCountsOnce() {
+    void crashReportedBySeveralRelaysCountsOnce() {
         quarantine.onCrash(crash(0, CAUSE), true, NOW);
         quarantine.onCrash(crash(0, CAUSE), false, NOW);
         quarantine.onCrash(crash(0, CAUSE), false, NOW);
 
-        assertThat(isHeld(CAUSE)).isFalse();
+        assertThat(isQuarantined(CAUSE)).isFalse();
     }
 
     @Test
-    void anotherStartOfATargetIsAnotherEnd() {
+    void crashesOfRestartedTargetCountSeparately() {
         for (int start = 1; start <= Quarantine.CRASH_THRESHOLD; start++) {
             quarantine.onCrash(new TargetCrash("i-1", start, Set.of(CAUSE)), true, NOW);
         }
 
-        assertThat(isHeld(CAUSE)).isTrue();
+        assertThat(isQuarantined(CAUSE)).isTrue();
     }
 
     @Test
-    void whatIsAnsweredIsNoCause() {
+    void answeredRequestIsNotQuarantined() {
         crashes(2, CAUSE);
         quarantine.onAnswered(CAUSE, NOW);
         crashes(5, CAUSE);
 
-        assertThat(isHeld(CAUSE)).isFalse();
+        assertThat(isQuarantined(CAUSE)).isFalse();
     }
 
     @Test
-    void whatWasAnsweredLongAgoIsSuspectedAgain() {
+    void requestAnsweredLongAgoBecomesSuspectAgain() {
         quarantine.onAnswered(CAUSE, NOW - Quarantine.CLEARED_MILLIS);
         crashes(3, CAUSE);
 
-        assertThat(isHeld(CAUSE)).isTrue();
+        assertThat(isQuarantined(CAUSE)).isTrue();
     }
 
     @Test
-    void aRecordOfWhatWasAnsweredHereLatelyIsRemoved() {
+    void recordOfRecentlyAnsweredRequestIsRemoved() {
         quarantine.onAnswered(CAUSE, NOW);
         quarantine.onRecord(CAUSE, false, NOW);
 
-        assertThat(isHeld(CAUSE)).isFalse();
+        assertThat(isQuarantined(CAUSE)).isFalse();
         assertThat(quarantine.recordsToRemove()).containsExactly(CAUSE);
     }
 
     @Test
-    void answersAreRememberedWithinABound() {
+    void rememberedResponsesAreBounded() {
         quarantine.onAnswered(CAUSE, NOW);
-        for (int request = 10; request < 10 + Quarantine.MOST_CLEARED; request++) {
+        for (int request = 10; request < 10 + Quarantine.MAX_CLEARED; request++) {
             quarantine.onAnswered(new RequestFingerprint(request, request), NOW);
         }
         crashes(3, CAUSE);
 
-        assertThat(isHeld(CAUSE)).isTrue();
+        assertThat(isQuarantined(CAUSE)).isTrue();
     }
 
     @Test
-    void anAnswerOfOneThatWasSentBeforeEndsTheQuarantine() {
+    void responseToEarlierAttemptEndsQuarantine() {
         crashes(3, CAUSE);
         quarantine.onRecord(CAUSE, false, NOW);
 
         quarantine.onAnswered(CAUSE, NOW);
 
-        assertThat(isHeld(CAUSE)).isFalse();
+        assertThat(isQuarantined(CAUSE)).isFalse();
         assertThat(quarantine.recordsToRemove()).containsExactly(CAUSE);
     }
 
     @Test
-    void oneEndQuarantinesAnewAfterItsTime() {
+    void oneCrashAfterExpiryQuarantinesAgain() {
         crashes(3, CAUSE);
         quarantine.onRecord(CAUSE, false, NOW);
         quarantine.expire(NOW + Quarantine.QUARANTINE_MILLIS);
-        assertThat(isHeld(CAUSE)).isFalse();
+        assertThat(isQuarantined(CAUSE)).isFalse();
         assertThat(quarantine.recordsToRemove()).containsExactly(CAUSE);
         quarantine.onRecordRemoved(CAUSE, NOW + Quarantine.QUARANTINE_MILLIS);
         assertThat(quarantine.recordsToRemove()).isEmpty();
 
         quarantine.onCrash(crash(9, CAUSE), true, NOW + Quarantine.QUARANTINE_MILLIS);
 
-        assertThat(isHeld(CAUSE)).isTrue();
+        assertThat(isQuarantined(CAUSE)).isTrue();
     }
 
     @Test
-    void whoHasSeenNoEndLeavesTheRecordToOthers() {
+    void relayThatSawNoCrashWritesAndRemovesNoRecord() {
         for (int target = 0; target < Quarantine.CRASH_THRESHOLD; target++) {
             quarantine.onCrash(crash(target, CAUSE), false, NOW);
         }
-        assertThat(isHeld(CAUSE)).isTrue();
+        assertThat(isQuarantined(CAUSE)).isTrue();
         assertThat(quarantine.recordsToWrite()).isEmpty();
 
         quarantine.onRecord(CAUSE, false, NOW);
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void aRecordThatWasThereBeforeIsRemovedInTheEnd() {
+    void recordFoundAtStartIsRemovedAfterExpiry() {
         quarantine.onRecord(CAUSE, true, NOW);
         quarantine.expire(NOW + Quarantine.QUARANTINE_MILLIS);
 
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void aRecordThatIsLostIsWrittenAgain() {
+    void lostRecordIsWrittenAgain() {
         crashes(3, CAUSE);
         quarantine.onRecord(CAUSE, false, NOW);
         assertThat(quarantine.recordsToWrite()).isEmpty();
@@ -161,21 +161,21 @@
     }
 
     @Test
-    void endsFromBeforeThisRelayQuarantineOnlyWithAFurtherOne() {
+    void pastCrashesQuarantineOnlyAfterAnotherCrash() {
         for (int target = 0; target <= Quarantine.CRASH_THRESHOLD; target++) {
             quarantine.onPastCrash(crash(target, CAUSE, OTHER), NOW);
         }
-        assertThat(isHeld(CAUSE)).isFalse();
+        assertThat(isQuarantined(CAUSE)).isFalse();
         assertThat(quarantine.isOneCrashFromQuarantine(CAUSE)).isTrue();
 
         quarantine.onCrash(crash(9, CAUSE), true, NOW);
 
-        assertThat(isHeld(CAUSE)).isTrue();
-        assertThat(isHeld(OTHER)).isFalse();
+        assertThat(isQuarantined(CAUSE)).isTrue();
+        assertThat(isQuarantined(OTHER)).isFalse();
     }
 
     @Test
-    void suspicionEnds() {
+    void suspectsExpire() {
         crashes(2, CAUSE);
         quarantine.expire(NOW + Quarantine.QUARANTINE_MILLIS);
 
@@ -184,20 +184,20 @@
 
     @Test
     void suspectsAreBounded() {
-        for (int request = 0; request <= Quarantine.MOST_SUSPECTS; request++) {
+        for (int request = 0; request <= Quarantine.MAX_SUSPECTS; request++) {
             quarantine.onCrash(crash(0, new RequestFingerprint(request, request)), true, NOW);
         }
 
-        assertThat(quarantine.suspectCount()).isEqualTo(Quarantine.MOST_SUSPECTS);
+        assertThat(quarantine.suspectCount()).isEqualTo(Quarantine.MAX_SUSPECTS);
         assertThat(quarantine.isEmpty()).isFalse();
     }
 
-    /** Reports of several relays come in any order, twice and late; what follows is the same at each of them. */
+    /** Reports of several relays arrive in any order, late or duplicated; the result must be the same at each relay. */
     @Property
-    void theOrderOfReportsDecidesNothing(
-            @ForAll @IntRange(max = 5) int ends, @ForAll @IntRange(min = 1, max = 4) int relays, @ForAll long seed) {
+    void resultDoesNotDependOnOrderOfReports(
+            @ForAll @IntRange(max = 5) int crashes, @ForAll @IntRange(min = 1, max = 4) int relays, @ForAll long seed) {
         List<TargetCrash> reports = new ArrayList<>();
-        for (int target = 0; target < ends; target++) {
+        for (int target = 0; target < crashes; target++) {
             for (int relay = 0; relay < relays; relay++) {
                 RequestFingerprint bystander = new RequestFingerprint(target, relay + 10);
                 reports.add(relay == target % relays ? crash(target, bystander, CAUSE) : crash(target, bystander));
@@ -209,7 +209,7 @@
         Quarantine shuffled = new Quarantine();
         reports.forEach(report -> shuffled.onCrash(report, false, NOW));
 
-        assertThat(shuffled.remainingMillis(CAUSE, NOW).isPresent()).isEqualTo(ends >= Quarantine.CRASH_THRESHOLD);
+        assertThat(shuffled.remainingMillis(CAUSE, NOW).isPresent()).isEqualTo(crashes >= Quarantine.CRASH_THRESHOLD);
         assertThat(shuffled.quarantinedCount()).isLessThanOrEqualTo(1);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/RequestFingerprintTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/quarantine/RequestFingerprintTest.java
@@ -21,9 +21,9 @@
     }
 
     @ParameterizedTest
-    @ValueSource(ints = {0, RequestFingerprint.PIECE_BYTES - 1, 3 * RequestFingerprint.PIECE_BYTES - 1})
-    void seesAChangeAtBothEndsOfALongBody(int changed) {
-        byte[] body = new byte[3 * RequestFingerprint.PIECE_BYTES];
+    @ValueSource(ints = {0, RequestFingerprint.SAMPLE_BYTES - 1, 3 * RequestFingerprint.SAMPLE_BYTES - 1})
+    void changesAtBothEndsOfLongBodyChangeFingerprint(int changed) {
+        byte[] body = new byte[3 * RequestFingerprint.SAMPLE_BYTES];
         RequestFingerprint before = RequestFingerprint.of("", "/", "", ByteBuffer.wrap(body));
         body[changed] = 1;
 
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void isTheSameWheneverTheRequestComes() {
+    void equalRequestsHaveEqualFingerprints() {
         assertThat(RequestFingerprint.of("mine.example", "/check/1", "anna", body("prompt")))
                 .isEqualTo(REQUEST);
     }
@@ -46,12 +46,12 @@
         "mine.example, /check/1, anna, prompts",
         "mine.example/, check/1, anna, prompt"
     })
-    void isAnotherForAnotherRequest(String host, String path, String customer, String body) {
+    void differentRequestsHaveDifferentFingerprints(String host, String path, String customer, String body) {
         assertThat(RequestFingerprint.of(host, path, customer, body(body))).isNotEqualTo(REQUEST);
     }
 
     @Property
-    void isReadFromItsDigits(@ForAll long first, @ForAll long second) {
+    void hexRoundTrip(@ForAll long first, @ForAll long second) {
         RequestFingerprint fingerprint = new RequestFingerprint(first, second);
 
         assertThat(RequestFingerprint.fromHex(fingerprint.toHex())).isEqualTo(fingerprint);
@@ -59,7 +59,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "0123", "0123456789abcdef0123456789abcdeg", "0123456789abcdef0123456789abcdef0"})
-    void otherTextIsNoFingerprint(String text) {
+    void malformedHexIsRejected(String text) {
         assertThatThrownBy(() -> RequestFingerprint.fromHex(text)).isInstanceOf(IllegalArgumentException.class);
     }
 }
