--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/FetchDelay.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/FetchDelay.java
@@ -1,57 +1,61 @@
 package org.rattanrudder.core.parts;
 
 /**
- * How late answers are whose prompts were read from one store, and which part of them should go on reading there.
+ * Tracks how late responses are whose prompts fetched parts from one store, and decides which share of prompts keeps
+ * fetching there.
  *
- * <p>A store's transfers queue on its link. When the link turns slow, fetches wait for each other up to seconds, and
- * every prompt that needs one is late, though its engine could read it anew in less than a tenth of the time. As many
- * prompts as the link carries should read there: the later its answers, the smaller the part that does. Leaving it
- * alone altogether would read far more prompts anew.
+ * <p>A store's transfers queue on its link. When the link becomes slow, fetches wait for each other for up to seconds,
+ * and every prompt that needs one is late, although its engine could recompute the part in less than a tenth of that
+ * time. Only as many prompts as the link can carry should fetch: the later the responses, the smaller the share.
+ * Avoiding the store entirely would recompute far more prompts than needed.
  */
 final class FetchDelay {
-    /** Lateness beyond the usual up to which every prompt reads from the store, in ms, beside as much as is usual. */
+    /** Lateness, in addition to twice the baseline, up to which every prompt fetches from the store. */
     private static final double TOLERATED_MILLIS = 80;
 
-    /** From so much more lateness on only a few do, in ms: an objective of half a second is missed. */
-    private static final double SPAN_MILLIS = 300;
+    /**
+     * Range of further lateness over which the share falls to its minimum: beyond it an objective of half a second is
+     * missed.
+     */
+    private static final double REDUCTION_SPAN_MILLIS = 300;
 
-    /** Lateness that is too much even if all stores are as late, in ms: deadlines of a few seconds are in danger. */
-    private static final double HOPELESS_MILLIS = 1_000;
+    /** Lateness from which the share falls even if all stores are as late: deadlines of a few seconds are at risk. */
+    private static final double MAX_LATE_MILLIS = 1_000;
 
-    /** The part that goes on reading however late it is, to see when the store has recovered. */
-    private static final double LEAST_SHARE = 0.05;
+    /** Minimum share that keeps fetching, to detect when the store has recovered. */
+    private static final double MIN_SHARE = 0.05;
 
-    /** The weight of the newest answer. */
+    /** The weight of the newest response. */
     private static final double SAMPLE_WEIGHT = 0.05;
 
-    /** After this time half of what was seen is forgotten, in ms. */
+    /** Half-life of the recorded lateness. */
     private static final double HALF_LIFE_MILLIS = 1_500;
 
     private double lateMillis;
     private long updatedAt;
     private double credit = 1;
 
-    /** Notes by how much some answers were later than without the fetch, on average. */
-    void observed(int samples, double excessMillis, long nowMillis) {
-        fade(nowMillis);
+    /** Records by how much some responses were later than without the fetch, on average. */
+    void record(int samples, double excessMillis, long nowMillis) {
+        decay(nowMillis);
         double weight = 1 - Math.pow(1 - SAMPLE_WEIGHT, samples);
         lateMillis += weight * (Math.max(0, excessMillis) - lateMillis);
     }
 
-    /** Returns how late answers are now, in ms. */
+    /** Returns the current lateness. */
     double lateMillis(long nowMillis) {
-        fade(nowMillis);
+        decay(nowMillis);
         return lateMillis;
     }
 
     /**
-     * Takes the turn of a request, and returns whether it reads from the store.
+     * Returns whether the next request fetches from the store.
      *
-     * @param usualMillis how late answers are with other stores: engines that are busy make all of them late
+     * @param baselineMillis the lateness with other stores: busy engines make all responses late
      */
-    boolean takeTurn(double usualMillis, long nowMillis) {
-        fade(nowMillis);
-        credit += share(usualMillis);
+    boolean tryFetch(double baselineMillis, long nowMillis) {
+        decay(nowMillis);
+        credit += share(baselineMillis);
         if (credit < 1) {
             return false;
         }
@@ -59,14 +63,14 @@
         return true;
     }
 
-    private double share(double usualMillis) {
-        // Where engines are busy, lateness varies by as much as is usual, and reading anew would make them busier.
-        double over = Math.max(lateMillis - 2 * usualMillis - TOLERATED_MILLIS, lateMillis - HOPELESS_MILLIS);
-        double left = 1 - over / SPAN_MILLIS;
-        return Math.max(LEAST_SHARE, Math.min(1, left));
+    private double share(double baselineMillis) {
+        // When engines are busy, lateness varies by as much as the baseline, and recomputing would add to their load.
+        double over = Math.max(lateMillis - 2 * baselineMillis - TOLERATED_MILLIS, lateMillis - MAX_LATE_MILLIS);
+        double left = 1 - over / REDUCTION_SPAN_MILLIS;
+        return Math.max(MIN_SHARE, Math.min(1, left));
     }
 
-    private void fade(long nowMillis) {
+    private void decay(long nowMillis) {
         lateMillis *= Math.pow(0.5, Math.max(0, nowMillis - updatedAt) / HALF_LIFE_MILLIS);
         updatedAt = nowMillis;
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartChoice.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartChoice.java
@@ -1,21 +1,21 @@
 package org.rattanrudder.core.parts;
 
-/** What was decided for a shared part of a prompt: where it is read, or why its engine has to read it anew. */
+/** How a shared part of a prompt is obtained, or why the engine has to recompute it. */
 public enum PartChoice {
-    /** It is read from a store. */
+    /** Fetched from a store. */
     FETCHED,
-    /** A store holds it, but its fetches come too late: the engine reads it anew. */
+    /** A store holds it, but its fetches are too slow, so the engine recomputes it. */
     SLOW_STORE,
-    /** Another request's engine was asked to save it, and it isn't known to be there yet. */
+    /** No store holds it: the engine computes and saves it. */
     BEING_SAVED,
     /** No store holds it: the engine reads it and saves it. */
     SAVED,
-    /** No store holds it, and none is to: its weights are being replaced. */
+    /** No store holds it, and it isn't saved since its weights are being replaced. */
     REPLACED,
-    /** Stores that have room restarted too lately to take it. */
+    /** The stores that have room restarted too recently to accept it. */
     UNSETTLED,
     /** No store has room for it. */
     NO_ROOM,
-    /** No store's word is fresh. */
+    /** No store has a fresh update. */
     NO_STORE
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartDirectory.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartDirectory.java
@@ -14,56 +14,56 @@
 import org.rattanrudder.core.routing.Hashing;
 
 /**
- * Which stores hold which parts, from the events that they publish.
+ * Tracks which stores hold which parts, from the events that the stores publish.
  *
- * <p>A store that restarts is empty, and a part may then be saved there again while another gateway still believes in
- * the old copy: an engine that reads it would get what is only half written. Three guards close that window. A gateway
- * plans reads only from a store that it has heard of within {@link #FRESH_MILLIS}; each fetch must have ended within
- * {@link #FETCH_MILLIS} of that, on the store's own clock, which also holds for a gateway that was frozen; and nobody
- * saves to a new incarnation before {@link #SETTLED_MILLIS}, when all older beliefs have run out.
+ * <p>A store that restarts is empty, and a part may be saved there again while another relay still relies on the old
+ * copy: an engine that fetches it would get a partially written part. Three rules prevent this. A relay plans fetches
+ * only from a store with an update within {@link #FRESH_MILLIS}. Each fetch must end within {@link
+ * #FETCH_AFTER_UPDATE_MILLIS} of that update by the store's own clock, which also covers a relay that was frozen. And
+ * no relay saves to a new incarnation before {@link #SETTLED_MILLIS}, when all older state has expired.
  *
- * <p>A part counts as held only from its event on, which stores publish when it is complete.
+ * <p>A part counts as held only after its event, which stores publish once the part is complete.
  */
 public final class PartDirectory {
-    /** How long what a store said is believed, in ms: news that another relay tells, and some that are lost. */
+    /** How long a store's update is valid: long enough for updates that a peer forwards, and for some that are lost. */
     static final long FRESH_MILLIS = 2_400;
 
     /**
-     * How long after a store's answer a fetch from it may still end, in ms. The time in the engine's queue counts: when
-     * this was shorter than the queues of an overload, each prompt was read in full and the queues never shrank.
+     * How long after a store's update a fetch from it may end, including the time in the engine's queue. When this was
+     * shorter than the queues under overload, each prompt was recomputed in full and the queues never shrank.
      */
-    static final long FETCH_MILLIS = 3_500;
+    static final long FETCH_AFTER_UPDATE_MILLIS = 3_500;
 
     /**
-     * How long after its request is sent a fetch may still end at most, in ms. Requests that can be on time wait some
-     * hundred ms at an engine; whatever is freed must be left alone by all for this long first.
+     * How long after its request is sent a fetch may end at most. Requests that can be on time wait some hundred ms at
+     * an engine; a part may be evicted only once no relay has planned to fetch it for this long.
      */
     public static final long FETCH_AFTER_SENT_MILLIS = 2_000;
 
-    /** The same at least, in ms: engines that are busy begin fetches late. */
-    private static final long LEAST_FETCH_MILLIS = 1_000;
+    /** Minimum of the time for which an engine waits for a fetch: busy engines start fetches late. */
+    private static final long MIN_FETCH_MILLIS = 1_000;
 
-    /** How long a fetch is waited for, as a multiple of the objective; then the engine reads the prompt itself. */
-    private static final double FETCH_OBJECTIVES = 2;
+    /** How long an engine waits for a fetch, as a multiple of the objective; then it recomputes the part itself. */
+    private static final double FETCH_OBJECTIVE_RATIO = 2;
 
-    /** How long a new incarnation of a store takes no saves, in ms: longer than any fetch from the one before. */
+    /** How long a new incarnation of a store gets no saves: longer than any fetch from the previous one can take. */
     static final long SETTLED_MILLIS = 4_000;
 
-    /** How long a save that was asked for is waited for before it is asked for again, in ms. */
-    private static final long SAVE_MILLIS = 4_000;
+    /** How long a requested save may be pending before it is requested again. */
+    private static final long SAVE_TIMEOUT_MILLIS = 4_000;
 
-    /** The share of a store that is filled; saves beyond its room would be lost without a word. */
-    static final double FULL_SHARE = 0.97;
+    /** The share of a store that is filled: stores drop saves beyond their capacity without an error. */
+    static final double MAX_FILL_SHARE = 0.97;
 
     private static final double UNIT = 0x1.0p-53;
     private static final int UNIT_SHIFT = 11;
 
     private final Map<Address, StoreView> stores = new LinkedHashMap<>();
 
-    /** Makes an empty directory. */
+    /** Creates an empty directory. */
     public PartDirectory() {}
 
-    /** Takes the stores that a configuration names; what is known of others is dropped. */
+    /** Sets the configured stores and drops the state of all others. */
     public void configure(List<ContextStore> configured) {
         Map<Address, StoreView> kept = new LinkedHashMap<>();
         for (ContextStore store : configured) {
@@ -75,21 +75,21 @@
         stores.putAll(kept);
     }
 
-    /** Takes what a store answered. */
-    public void applyStoreUpdate(Address store, StoreUpdate news, long askedAtMillis, long nowMillis) {
+    /** Applies an update of a store. */
+    public void applyStoreUpdate(Address store, StoreUpdate update, long requestedAtMillis, long nowMillis) {
         StoreView view = stores.get(store);
         if (view != null) {
-            view.heard(news, askedAtMillis, nowMillis);
+            view.applyUpdate(update, requestedAtMillis, nowMillis);
         }
     }
 
-    /** Returns how many tokens the parts that a store is known to hold have. */
+    /** Returns the total size of the parts that a store is known to hold, in tokens. */
     public long usedTokens(Address store) {
         StoreView view = stores.get(store);
         return view == null ? 0 : view.usedTokens();
     }
 
-    /** Returns the parts of a store that no request reads any more, since they belong to older weights. */
+    /** Returns the parts of a store that no request fetches any more, since they belong to older weights. */
     public List<PartKey> outdatedParts(Address store, long oldestWeightsInUse) {
         StoreView view = stores.get(store);
         if (view == null) {
@@ -97,24 +97,25 @@
         }
         return view.held().keySet().stream()
                 .filter(key -> PartKey.weightVersion(key.salt())
-                        .filter(made -> made < oldestWeightsInUse)
+                        .filter(version -> version < oldestWeightsInUse)
                         .isPresent())
                 .toList();
     }
 
-    /** Returns the incarnation in which a store last answered; 0 if it never did. */
+    /** Returns the incarnation in a store's last update; 0 if there was none. */
     public long incarnation(Address store) {
         StoreView view = stores.get(store);
         return view == null ? 0 : view.incarnation();
     }
 
     /**
-     * Plans where the shared parts of a prompt are read and saved, and notes the saves as under way.
+     * Plans where the shared parts of a prompt are fetched and saved, and records the saves as pending.
      *
-     * @param salt who may use them
-     * @param parts the prompt in order; the last part is its own and is left alone
-     * @param saves whether what no store holds is saved; it isn't worth its room under weights that are being replaced
-     * @param objectiveMillis until when the answer should begin, in ms: no fetch is waited for much longer
+     * @param salt limits which requests may use the parts
+     * @param parts the prompt in order; its last part isn't shared and is skipped
+     * @param saves whether to save parts that no store holds; false while their weights are being replaced, since they
+     * wouldn't be worth their space
+     * @param objectiveMillis when the response should start, in ms from now; engines don't wait for fetches much longer
      */
     public PartPlan plan(
             String salt,
@@ -127,21 +128,21 @@
             return PartPlan.NONE;
         }
         List<Optional<PartPlan.Source>> sources = new ArrayList<>();
-        List<Optional<Address>> targets = new ArrayList<>();
+        List<Optional<Address>> destinations = new ArrayList<>();
         List<PartChoice> choices = new ArrayList<>();
         Map<StoreView, Boolean> allowed = new HashMap<>();
-        double usual = usualLateness(nowMillis);
+        double baseline = baselineLateness(nowMillis);
         long fetchMillis = fetchMillis(objectiveMillis);
         long until = Long.MAX_VALUE;
         for (PromptPart part : parts.subList(0, parts.size() - 1)) {
             PartKey key = new PartKey(salt, part.id());
             Optional<StoreView> holder = holder(key, engineDomain, nowMillis);
             Optional<StoreView> read = holder.filter(
-                    view -> allowed.computeIfAbsent(view, asked -> asked.delay().takeTurn(usual, nowMillis)));
+                    view -> allowed.computeIfAbsent(view, asked -> asked.delay().tryFetch(baseline, nowMillis)));
             sources.add(read.map(view -> new PartPlan.Source(view.store().address(), view.tokens(key))));
             Optional<Address> saved =
-                    holder.isPresent() || !saves ? Optional.empty() : saveAt(key, part.tokens(), nowMillis);
-            targets.add(saved);
+                    holder.isPresent() || !saves ? Optional.empty() : chooseSaveStore(key, part.tokens(), nowMillis);
+            destinations.add(saved);
             boolean replaced = holder.isEmpty() && !saves;
             choices.add(replaced ? PartChoice.REPLACED : choice(key, part.tokens(), holder, read, saved, nowMillis));
             until = Math.min(
@@ -149,15 +150,18 @@
                     read.map(view -> view.fetchUntil(fetchMillis, nowMillis)).orElse(Long.MAX_VALUE));
         }
         sources.add(Optional.empty());
-        targets.add(Optional.empty());
+        destinations.add(Optional.empty());
         OptionalLong untilMillis = until == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(until);
-        return new PartPlan(sources, targets, untilMillis, choices);
+        return new PartPlan(sources, destinations, untilMillis, choices);
     }
 
-    /** Callers leave streams that don't begin; an engine that waits for a store until then serves nobody. */
+    /**
+     * Limits the wait for a fetch: callers leave streams that don't start, and an engine that waits until then serves
+     * none.
+     */
     private static long fetchMillis(long objectiveMillis) {
-        long wanted = (long) (FETCH_OBJECTIVES * objectiveMillis);
-        return Math.max(LEAST_FETCH_MILLIS, Math.min(FETCH_AFTER_SENT_MILLIS, wanted));
+        long wanted = (long) (FETCH_OBJECTIVE_RATIO * objectiveMillis);
+        return Math.max(MIN_FETCH_MILLIS, Math.min(FETCH_AFTER_SENT_MILLIS, wanted));
     }
 
     private PartChoice choice(
@@ -176,7 +180,7 @@
         if (saved.isPresent()) {
             return PartChoice.SAVED;
         }
-        if (stores.values().stream().anyMatch(view -> view.isSaving(key, nowMillis))) {
+        if (stores.values().stream().anyMatch(view -> view.isSavePending(key, nowMillis))) {
             return PartChoice.BEING_SAVED;
         }
         List<StoreView> fresh =
@@ -187,16 +191,16 @@
         return fresh.stream().anyMatch(view -> view.hasRoom(tokens)) ? PartChoice.UNSETTLED : PartChoice.NO_ROOM;
     }
 
-    /** Notes by how much the first bytes of answers were late whose prompts were read from a store. */
+    /** Records by how much the first bytes of responses were late whose prompts fetched parts from a store. */
     public void recordFetchLateness(StoreLateness late, long nowMillis) {
         StoreView view = stores.get(late.store());
         if (view != null) {
-            view.delay().observed(late.samples(), late.meanMillis(), nowMillis);
+            view.delay().record(late.samples(), late.meanMillis(), nowMillis);
         }
     }
 
-    /** Returns how late answers are with the store in the middle of all: busy engines make all of them late. */
-    private double usualLateness(long nowMillis) {
+    /** Returns the median lateness over all stores: busy engines make all responses late. */
+    private double baselineLateness(long nowMillis) {
         double[] sorted = stores.values().stream()
                 .mapToDouble(view -> view.delay().lateMillis(nowMillis))
                 .sorted()
@@ -216,16 +220,16 @@
                 + doubled * view.tokens(key) / Math.max(1, view.store().linkMbps());
     }
 
-    private Optional<Address> saveAt(PartKey key, int tokens, long nowMillis) {
-        if (stores.values().stream().anyMatch(view -> view.isSaving(key, nowMillis))) {
+    private Optional<Address> chooseSaveStore(PartKey key, int tokens, long nowMillis) {
+        if (stores.values().stream().anyMatch(view -> view.isSavePending(key, nowMillis))) {
             return Optional.empty();
         }
         long part = Hashing.of(key.id());
-        // All gateways rank the stores of a part alike, in proportion to their room, so that it is saved once.
+        // All relays rank the stores for a part alike, weighted by capacity, so that the part is saved once.
         Optional<StoreView> chosen = stores.values().stream()
-                .filter(view -> view.mayTakeSaves(nowMillis) && view.hasRoom(tokens) && view.tokens(key) == 0)
+                .filter(view -> view.acceptsSaves(nowMillis) && view.hasRoom(tokens) && view.tokens(key) == 0)
                 .max(Comparator.comparingDouble(view -> rank(part, view)));
-        chosen.ifPresent(view -> view.saving(key, nowMillis + SAVE_MILLIS));
+        chosen.ifPresent(view -> view.addPendingSave(key, nowMillis + SAVE_TIMEOUT_MILLIS));
         return chosen.map(view -> view.store().address());
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartEvent.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartEvent.java
@@ -1,10 +1,10 @@
 package org.rattanrudder.core.parts;
 
 /**
- * A change of what a store holds.
+ * A change of the parts that a store holds.
  *
  * @param key the part
- * @param tokens its tokens that are complete now
- * @param held false if the store holds it no more
+ * @param tokens the number of its tokens that are complete
+ * @param held false if the store no longer holds the part
  */
 public record PartEvent(PartKey key, int tokens, boolean held) {}
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartKey.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartKey.java
@@ -4,17 +4,17 @@
 import org.rattanrudder.core.gateway.CustomerIdentity;
 
 /**
- * Names one cached part: what it holds, and who may use it.
+ * Identifies a cached part by its content and by who may use it.
  *
  * @param salt engines and stores find a part only under the salt that it was saved with
- * @param id names the content
+ * @param id identifies the content
  */
 public record PartKey(String salt, String id) {
     private static final char SEPARATOR = '.';
 
     /**
-     * Returns the salt of a request. Weights stand in it, so that a part made by one version is never found by a
-     * request of another; so does the name of a customer that shares nothing with others.
+     * Returns the salt of a request. It contains the version of the weights, so that a request never finds a part that
+     * was computed under another version, and the name of the customer if that customer shares no parts with others.
      */
     public static String salt(long weights, Optional<CustomerIdentity> customer) {
         String shared = "w" + weights;
@@ -23,7 +23,7 @@
                 .orElse(shared);
     }
 
-    /** Returns the version of weights in a salt of ours; empty if it isn't one. */
+    /** Returns the version of weights in a salt; empty if this project didn't create the salt. */
     public static Optional<Long> weightVersion(String salt) {
         if (!salt.startsWith("w")) {
             return Optional.empty();
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartPlan.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartPlan.java
@@ -6,22 +6,21 @@
 import org.rattanrudder.core.model.Address;
 
 /**
- * Where an engine reads and saves each part of one prompt.
+ * Where an engine fetches and saves each part of one prompt.
  *
- * @param sources for each part the store to read it from
- * @param destinations for each part the store to save it in once it was read
- * @param untilMillis when fetches must have ended, on the stores' clock; later ones are thrown away
- * @param choices for each shared part what was decided
+ * @param sources for each part, the store to fetch it from
+ * @param destinations for each part, the store to save it to once it was computed
+ * @param untilMillis when fetches must have ended, by the stores' clock; later ones are discarded
+ * @param choices for each shared part, how it is obtained
  */
 public record PartPlan(
         List<Optional<Source>> sources,
         List<Optional<Address>> destinations,
         OptionalLong untilMillis,
         List<PartChoice> choices) {
-    /** A plan that moves nothing. */
+    /** A plan without fetches and saves. */
     public static final PartPlan NONE = new PartPlan(List.of(), List.of(), OptionalLong.empty(), List.of());
 
-    /** Takes copies of the lists. */
     public PartPlan {
         sources = List.copyOf(sources);
         destinations = List.copyOf(destinations);
@@ -29,19 +28,19 @@
     }
 
     /**
-     * A place to read a part from.
+     * A store to fetch a part from.
      *
      * @param address the store
-     * @param tokens how many tokens of it are complete there
+     * @param tokens the number of the part's tokens that are complete there
      */
     public record Source(Address address, int tokens) {}
 
-    /** Returns whether anything is read. */
+    /** Returns whether the plan contains a fetch. */
     public boolean reads() {
         return sources.stream().anyMatch(Optional::isPresent);
     }
 
-    /** Returns whether anything is saved. */
+    /** Returns whether the plan contains a save. */
     public boolean saves() {
         return destinations.stream().anyMatch(Optional::isPresent);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartRetirement.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/PartRetirement.java
@@ -3,39 +3,39 @@
 import java.util.TreeMap;
 
 /**
- * Says from when on the parts of older weights may be freed.
+ * Decides when the parts of older weights may be evicted.
  *
- * <p>Stores fill up, and what engines read under new weights finds no room before the parts of old ones are gone. A
- * part must not be freed while an engine reads it. An engine refuses requests for weights that it doesn't serve any
- * more, and what it had begun to fetch ends within a known time; so once all engines serve a version or a newer one,
- * and that time is over, nobody reads what is older.
+ * <p>Stores fill up, and parts computed under new weights find no room until those of the old weights are evicted. A
+ * part must not be evicted while an engine fetches it. An engine rejects requests for weights that it no longer serves,
+ * and its pending fetches end within a known time; so once all engines have served a version or a newer one for that
+ * time, no engine reads older parts.
  *
- * <p>Times are milliseconds of a steady clock.
+ * <p>Times are milliseconds of a monotonic clock.
  */
 public final class PartRetirement {
-    /** How long fetches may go on once no engine serves their weights, and what timers are late by, in ms. */
+    /** How long fetches may continue after no engine serves their weights, including timer delays. */
     static final long WAIT_MILLIS = PartDirectory.FETCH_AFTER_SENT_MILLIS + 500;
 
     /** Since when all engines have served a version or a newer one. */
     private final TreeMap<Long, Long> sinceByVersion = new TreeMap<>();
 
-    /** Makes a state in which nothing may be freed. */
+    /** Creates a state in which no part may be evicted. */
     public PartRetirement() {}
 
     /**
-     * Notes the oldest weights that any engine serves.
+     * Updates the oldest weights that any engine serves.
      *
-     * @param version their version; 0 if it isn't known
+     * @param version their version; 0 if unknown
      */
     public void updateOldestServed(long version, long nowMillis) {
-        // An engine that was unknown, or that started again with older weights than the others, takes them up again.
+        // An engine that was unknown, or that restarted with older weights than the others, uses older parts again.
         sinceByVersion.tailMap(version, false).clear();
         if (version > 0) {
             sinceByVersion.putIfAbsent(version, nowMillis);
         }
     }
 
-    /** Returns the version before which parts may be freed; 0 if none may. */
+    /** Returns the version before which parts may be evicted; 0 if none may. */
     public long evictableBefore(long nowMillis) {
         while (sinceByVersion.size() > 1
                 && isOver(sinceByVersion.higherEntry(sinceByVersion.firstKey()).getValue(), nowMillis)) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/SharedStoreUpdate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/SharedStoreUpdate.java
@@ -3,11 +3,11 @@
 import org.rattanrudder.core.model.Address;
 
 /**
- * News of a context store that one relay asked for and tells the others.
+ * An update of a context store that one relay polled and forwards to its peers.
  *
  * @param store the store
- * @param since the event number that was asked from
- * @param update what the store answered
- * @param ageMillis how long ago it was asked
+ * @param since the event number that the poll started from
+ * @param update the store's response
+ * @param ageMillis how long ago the poll was sent
  */
 public record SharedStoreUpdate(Address store, long since, StoreUpdate update, long ageMillis) {}
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StorePollSchedule.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StorePollSchedule.java
@@ -7,44 +7,45 @@
 import org.rattanrudder.core.routing.Hashing;
 
 /**
- * Decides which relays ask a context store for its news.
+ * Decides when a relay polls a context store for updates.
  *
- * <p>A store answers only so many such calls at once and charges for the rest. A few relays, the same ones in
- * everybody's eyes, ask each store and tell the others, who ask themselves only when they have heard nothing for a
- * while.
+ * <p>A store accepts only a limited number of concurrent polls and charges for the rejected ones. A few relays, which
+ * all relays select alike, poll each store and forward its updates to the others; those poll it themselves only when
+ * they have received no update for a while.
  */
 public final class StorePollSchedule {
     /**
-     * Relays that ask a store. Among few, the others must hear of it at once while one of them is restarted or cut off;
-     * among many, each answer is told so often that one has to do, and another one asks a second later.
+     * Number of relays that poll a store. In a small fleet, the others must receive updates without delay while one
+     * poller restarts or is cut off. In a large one, each update is forwarded so often that one poller has to suffice;
+     * if it fails, another relay polls a second later.
      */
-    private static final int ASKING_OF_FEW = 2;
+    private static final int POLLERS_OF_SMALL_FLEET = 2;
 
-    private static final int ASKING_OF_MANY = 1;
-    private static final int MANY = 8;
+    private static final int POLLERS_OF_LARGE_FLEET = 1;
+    private static final int LARGE_FLEET_PEERS = 8;
 
-    /** The time between an answer and the next question, in ms: changes that come meanwhile share one answer. */
+    /** Interval between a response and the next poll: changes in between share one response. */
     public static final long POLL_INTERVAL_MILLIS = 250;
 
-    /** How old news may grow before a relay that isn't on duty asks itself, in ms. */
-    private static final long PATIENCE_MILLIS = 1_000;
+    /** Age of the last update at which a relay that isn't a poller polls the store itself. */
+    private static final long STALE_MILLIS = 1_000;
 
-    /** Relays lose patience one after the other, in ms, so that they don't all ask at once when news fails to come. */
-    private static final long TURN_MILLIS = 40;
+    /** Additional delay per relay, so that they don't all poll at once when updates stop. */
+    private static final long STAGGER_MILLIS = 40;
 
     private final Address store;
     private final long ownWeight;
 
-    /** Weights of relays, kept since a hash of a name costs more than the rest of the decision. */
+    /** Cached relay weights: hashing a name costs more than the rest of the decision. */
     private final Map<String, Long> weights = new HashMap<>();
 
-    /** Makes the duty of one relay towards one store. */
+    /** Creates the schedule of one relay for one store. */
     public StorePollSchedule(String self, Address store) {
         this.store = store;
         ownWeight = weight(self);
     }
 
-    /** Returns how long after its last news of the store the relay asks it, in ms. */
+    /** Returns how long after its last update of the store the relay polls it. */
     public long pollDelayMillis(Set<String> others) {
         if (weights.size() > others.size()) {
             weights.keySet().retainAll(others);
@@ -52,8 +53,8 @@
         long rank = others.stream()
                 .filter(other -> Long.compareUnsigned(weights.computeIfAbsent(other, this::weight), ownWeight) > 0)
                 .count();
-        int asking = others.size() >= MANY ? ASKING_OF_MANY : ASKING_OF_FEW;
-        return rank < asking ? POLL_INTERVAL_MILLIS : PATIENCE_MILLIS + (rank - asking) * TURN_MILLIS;
+        int pollers = others.size() >= LARGE_FLEET_PEERS ? POLLERS_OF_LARGE_FLEET : POLLERS_OF_SMALL_FLEET;
+        return rank < pollers ? POLL_INTERVAL_MILLIS : STALE_MILLIS + (rank - pollers) * STAGGER_MILLIS;
     }
 
     private long weight(String relay) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StoreUpdate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StoreUpdate.java
@@ -4,16 +4,15 @@
 import java.util.OptionalLong;
 
 /**
- * An answer of a store to the question what has changed.
+ * A store's response to a poll for changes.
  *
- * @param incarnation changes when the store restarts, empty
- * @param next what to ask from next time
- * @param lost whether events were dropped before these
+ * @param incarnation changes when the store restarts, which empties it
+ * @param next the event number to poll from next time
+ * @param lost whether events before these were dropped
  * @param events the changes, oldest first
- * @param clockMillis the store's clock when it answered; empty if it didn't say
+ * @param clockMillis the store's clock at the time of the response; empty if not given
  */
 public record StoreUpdate(long incarnation, long next, boolean lost, List<PartEvent> events, OptionalLong clockMillis) {
-    /** Takes a copy of the events. */
     public StoreUpdate {
         events = List.copyOf(events);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StoreView.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/parts/StoreView.java
@@ -5,18 +5,18 @@
 import org.rattanrudder.core.gateway.ContextStore;
 import org.rattanrudder.core.routing.Hashing;
 
-/** What is known of one store. */
+/** The known state of one store. */
 final class StoreView {
     private final Map<PartKey, Integer> held = new HashMap<>();
-    private final Map<PartKey, Long> saving = new HashMap<>();
+    private final Map<PartKey, Long> pendingSaves = new HashMap<>();
     private final FetchDelay delay = new FetchDelay();
     private final long addressHash;
     private ContextStore store;
     private long incarnation;
     private long incarnationSince;
-    private long heardAt = Long.MIN_VALUE / 2;
-    private long clockAtAnswer;
-    private long answeredAt;
+    private long updatedAt = Long.MIN_VALUE / 2;
+    private long storeClockMillis;
+    private long clockReadAt;
     private boolean clockKnown;
     private long usedTokens;
 
@@ -29,7 +29,7 @@
         return store;
     }
 
-    /** Returns a hash of its address. */
+    /** Returns a hash of the store's address. */
     long addressHash() {
         return addressHash;
     }
@@ -38,35 +38,35 @@
         store = newest;
     }
 
-    void heard(StoreUpdate news, long askedAt, long nowMillis) {
-        if (news.incarnation() != incarnation) {
-            incarnation = news.incarnation();
+    void applyUpdate(StoreUpdate update, long requestedAt, long nowMillis) {
+        if (update.incarnation() != incarnation) {
+            incarnation = update.incarnation();
             incarnationSince = nowMillis;
             held.clear();
-            saving.clear();
+            pendingSaves.clear();
             usedTokens = 0;
         }
-        // What the answer says was true at some time since it was asked for; the earliest is taken.
-        heardAt = Math.max(askedAt, heardAt);
-        news.clockMillis().ifPresent(clock -> {
-            clockAtAnswer = clock;
-            answeredAt = nowMillis;
+        // The update was true at some time between request and response; the earliest one is assumed.
+        updatedAt = Math.max(requestedAt, updatedAt);
+        update.clockMillis().ifPresent(clock -> {
+            storeClockMillis = clock;
+            clockReadAt = nowMillis;
             clockKnown = true;
         });
-        news.events().forEach(this::apply);
+        update.events().forEach(this::apply);
     }
 
     private void apply(PartEvent event) {
-        saving.remove(event.key());
+        pendingSaves.remove(event.key());
         Integer before = event.held() ? held.put(event.key(), event.tokens()) : held.remove(event.key());
         usedTokens += (event.held() ? event.tokens() : 0) - (before == null ? 0 : before);
     }
 
     boolean isFresh(long nowMillis) {
-        return nowMillis - heardAt <= PartDirectory.FRESH_MILLIS;
+        return nowMillis - updatedAt <= PartDirectory.FRESH_MILLIS;
     }
 
-    boolean mayTakeSaves(long nowMillis) {
+    boolean acceptsSaves(long nowMillis) {
         return isFresh(nowMillis) && nowMillis - incarnationSince >= PartDirectory.SETTLED_MILLIS;
     }
 
@@ -78,26 +78,26 @@
         return clockKnown;
     }
 
-    /** Returns until when a fetch that is planned now may end, on the store's clock, which has run on since. */
+    /** Returns when a fetch that is planned now must end, by the store's clock, extrapolated from its last update. */
     long fetchUntil(long fetchMillis, long nowMillis) {
-        long sincePlanned = clockAtAnswer + (nowMillis - answeredAt) + fetchMillis;
-        return Math.min(clockAtAnswer + PartDirectory.FETCH_MILLIS, sincePlanned);
+        long sincePlanned = storeClockMillis + (nowMillis - clockReadAt) + fetchMillis;
+        return Math.min(storeClockMillis + PartDirectory.FETCH_AFTER_UPDATE_MILLIS, sincePlanned);
     }
 
     int tokens(PartKey key) {
         return held.getOrDefault(key, 0);
     }
 
-    boolean isSaving(PartKey key, long nowMillis) {
-        return nowMillis < saving.getOrDefault(key, Long.MIN_VALUE);
+    boolean isSavePending(PartKey key, long nowMillis) {
+        return nowMillis < pendingSaves.getOrDefault(key, Long.MIN_VALUE);
     }
 
-    void saving(PartKey key, long untilMillis) {
-        saving.put(key, untilMillis);
+    void addPendingSave(PartKey key, long untilMillis) {
+        pendingSaves.put(key, untilMillis);
     }
 
     boolean hasRoom(int tokens) {
-        return usedTokens + tokens <= store.capacityTokens() * PartDirectory.FULL_SHARE;
+        return usedTokens + tokens <= store.capacityTokens() * PartDirectory.MAX_FILL_SHARE;
     }
 
     long usedTokens() {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartDirectoryTest.java
@@ -28,12 +28,12 @@
     @BeforeEach
     void oneStore() {
         directory.configure(List.of(new ContextStore("vault", STORE, "north", 100_000, 58_000, 6, true)));
-        directory.applyStoreUpdate(STORE, news(1), BEGIN, BEGIN);
+        directory.applyStoreUpdate(STORE, update(1), BEGIN, BEGIN);
     }
 
     @Test
-    void aPartIsReadOnceItIsWholeAndSavedOnlyOnce() {
-        directory.applyStoreUpdate(STORE, news(1), SETTLED, SETTLED);
+    void partIsFetchedOnceCompleteAndSavedOnlyOnce() {
+        directory.applyStoreUpdate(STORE, update(1), SETTLED, SETTLED);
         PartPlan first = directory.plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED);
         assertThat(first.saves()).isTrue();
         assertThat(first.reads()).isFalse();
@@ -42,19 +42,19 @@
                         .saves())
                 .isFalse();
 
-        directory.applyStoreUpdate(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED + 300, SETTLED + 300);
+        directory.applyStoreUpdate(STORE, update(1, held("w1", "sheet", 2_500)), SETTLED + 300, SETTLED + 300);
         PartPlan second = directory.plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED + 310);
         assertThat(second.sources())
                 .containsExactly(Optional.of(new PartPlan.Source(STORE, 2_500)), Optional.empty(), Optional.empty());
     }
 
-    /** What an engine has to read anew says why, so that the logs of a day tell which of it could have been spared. */
+    /** The reason for each recomputed part is logged, so that the logs show which of them were avoidable. */
     @Test
-    void eachSharedPartSaysWhatWasDecidedForIt() {
+    void planHasChoiceForEachSharedPart() {
         assertThat(directory.plan("w1", PROMPT, "north", true, OBJECTIVE, BEGIN).choices())
                 .containsExactly(PartChoice.UNSETTLED, PartChoice.UNSETTLED);
 
-        directory.applyStoreUpdate(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, update(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED)
                         .choices())
@@ -68,7 +68,7 @@
                         .choices())
                 .containsExactly(PartChoice.NO_STORE, PartChoice.BEING_SAVED);
 
-        directory.applyStoreUpdate(STORE, news(1, held("w1", "all", 95_000)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, update(1, held("w1", "all", 95_000)), SETTLED, SETTLED);
         assertThat(directory
                         .plan("w2", PROMPT, "north", true, OBJECTIVE, SETTLED)
                         .choices())
@@ -83,10 +83,10 @@
                 .isEqualTo(PartChoice.SLOW_STORE);
     }
 
-    /** Weights are being replaced: what is read under the old ones fills stores that the new ones will need. */
+    /** Weights are being replaced: parts saved under the old ones would take space that the new ones need. */
     @Test
-    void nothingIsSavedUnderWeightsThatAreBeingReplaced() {
-        directory.applyStoreUpdate(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
+    void nothingIsSavedUnderReplacedWeights() {
+        directory.applyStoreUpdate(STORE, update(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
 
         PartPlan plan = directory.plan("w1", PROMPT, "north", false, OBJECTIVE, SETTLED);
 
@@ -97,8 +97,8 @@
     /** Guards against engines that wait for a slow store until their callers have left. */
     @ParameterizedTest
     @CsvSource({"60, 1000", "500, 1000", "700, 1400", "1000, 2000", "5000, 2000"})
-    void aFetchIsWaitedForNotMuchLongerThanTheAnswerIsWanted(long objective, long fetchMillis) {
-        directory.applyStoreUpdate(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
+    void fetchTimeoutFollowsObjective(long objective, long fetchMillis) {
+        directory.applyStoreUpdate(STORE, update(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
 
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, objective, SETTLED + 100)
@@ -106,10 +106,10 @@
                 .hasValue(SETTLED + 100 + fetchMillis);
     }
 
-    /** Parts are freed a while after nobody plans to read them any more: no fetch may go on for longer. */
+    /** Parts are evicted some time after the last fetch of them was planned: no fetch may take longer. */
     @Test
-    void aFetchEndsWithinAKnownTimeOfItsRequest() {
-        directory.applyStoreUpdate(STORE, news(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
+    void fetchEndsWithinBoundedTimeOfItsRequest() {
+        directory.applyStoreUpdate(STORE, update(1, held("w1", "sheet", 2_500)), SETTLED, SETTLED);
 
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED + 700)
@@ -118,12 +118,12 @@
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED + 2_300)
                         .untilMillis())
-                .hasValue(SETTLED + PartDirectory.FETCH_MILLIS);
+                .hasValue(SETTLED + PartDirectory.FETCH_AFTER_UPDATE_MILLIS);
     }
 
     @Test
-    void theOwnPartOfAPromptIsLeftAlone() {
-        directory.applyStoreUpdate(STORE, news(1), SETTLED, SETTLED);
+    void unsharedPartIsNotSaved() {
+        directory.applyStoreUpdate(STORE, update(1), SETTLED, SETTLED);
 
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED)
@@ -133,16 +133,16 @@
     }
 
     /**
-     * A store dies and comes back empty. One relay saves a part there anew; another, which hasn't heard of the restart,
-     * lets an engine read it while it is half written, and a check is made on half a record.
+     * A store crashes and returns empty. One relay saves a part there anew; another one, which has no update since the
+     * restart, would let an engine fetch the partially written part and compute a response from an incomplete prompt.
      */
     @Test
-    void noFetchFromAnEarlierIncarnationCanMeetASaveToTheNext() {
-        directory.applyStoreUpdate(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
+    void fetchFromOldIncarnationEndsBeforeFirstSaveToNewOne() {
+        directory.applyStoreUpdate(STORE, update(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
         PartDirectory other = new PartDirectory();
         other.configure(List.of(new ContextStore("vault", STORE, "north", 100_000, 58_000, 6, true)));
         long restart = SETTLED + 1;
-        other.applyStoreUpdate(STORE, news(2), restart, restart);
+        other.applyStoreUpdate(STORE, update(2), restart, restart);
 
         long lastUse = SETTLED + PartDirectory.FRESH_MILLIS;
         PartPlan latest = directory.plan("w1", PROMPT, "north", true, OBJECTIVE, lastUse);
@@ -153,7 +153,7 @@
                 .isFalse();
 
         long firstSave = restart + PartDirectory.SETTLED_MILLIS;
-        other.applyStoreUpdate(STORE, news(2), firstSave - 1, firstSave - 1);
+        other.applyStoreUpdate(STORE, update(2), firstSave - 1, firstSave - 1);
         assertThat(other.plan("w1", PROMPT, "north", true, OBJECTIVE, firstSave - 1)
                         .saves())
                 .isFalse();
@@ -163,12 +163,12 @@
     }
 
     /**
-     * A store's link turns slow and fetches queue on it for seconds. Every clerk whose record lies there waits, though
-     * the engines have nothing to do.
+     * A store's link becomes slow and fetches queue on it for seconds. Every request with a part there would wait,
+     * although the engines are idle.
      */
     @Test
-    void aSlowStoreIsReadByFewUntilItHasRecovered() {
-        directory.applyStoreUpdate(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
+    void slowStoreGetsFewFetchesUntilItRecovers() {
+        directory.applyStoreUpdate(STORE, update(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
         directory.recordFetchLateness(new StoreLateness(STORE, 60, 1_900), SETTLED);
 
         assertThat(reads(100, SETTLED)).isBetween(1, 10);
@@ -179,32 +179,32 @@
                 .isEmpty();
 
         long recovered = SETTLED + 9_000;
-        directory.applyStoreUpdate(STORE, news(1), recovered, recovered);
+        directory.applyStoreUpdate(STORE, update(1), recovered, recovered);
         assertThat(reads(100, recovered)).isEqualTo(100);
     }
 
-    /** Half of a slow store's prompts would do to keep its link busy: the others shouldn't wait for it. */
+    /** Half of a slow store's prompts suffice to keep its link busy: the others must not wait for it. */
     @Test
-    void theLaterAStoreTheFewerReadThere() {
-        directory.applyStoreUpdate(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
+    void shareOfFetchesFallsWithLateness() {
+        directory.applyStoreUpdate(STORE, update(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
         directory.recordFetchLateness(new StoreLateness(STORE, 200, 230), SETTLED);
 
         assertThat(reads(100, SETTLED)).isBetween(45, 55);
     }
 
-    /** All engines are busy, so that every answer is late: no store is to blame. */
+    /** All engines are busy, so that every response is late: this must not count against any store. */
     @Test
-    void whatIsLateWithEveryStoreIsNoStoresFault() {
+    void latenessCommonToAllStoresIsIgnored() {
         Address second = new Address("10.0.0.8", 80);
         Address third = new Address("10.0.0.9", 80);
         directory.configure(List.of(
                 new ContextStore("vault", STORE, "north", 100_000, 58_000, 6, true),
                 new ContextStore("vault", second, "north", 100_000, 58_000, 6, true),
                 new ContextStore("vault", third, "north", 100_000, 58_000, 6, true)));
-        directory.applyStoreUpdate(STORE, news(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
+        directory.applyStoreUpdate(STORE, update(1, held("w1", "record", 5_000)), SETTLED, SETTLED);
         directory.recordFetchLateness(new StoreLateness(STORE, 50, 500), SETTLED);
         directory.recordFetchLateness(new StoreLateness(second, 50, 480), SETTLED);
-        assertThat(reads(100, SETTLED)).as("one of three isn't late").isEqualTo(100);
+        assertThat(reads(100, SETTLED)).as("the third store isn't late").isEqualTo(100);
 
         directory.recordFetchLateness(new StoreLateness(third, 50, 490), SETTLED);
         assertThat(reads(100, SETTLED)).isEqualTo(100);
@@ -226,8 +226,8 @@
     }
 
     @Test
-    void aFullStoreTakesNothing() {
-        directory.applyStoreUpdate(STORE, news(1, held("w1", "other", 96_000)), SETTLED, SETTLED);
+    void fullStoreGetsNoSaves() {
+        directory.applyStoreUpdate(STORE, update(1, held("w1", "other", 96_000)), SETTLED, SETTLED);
 
         assertThat(directory
                         .plan("w1", PROMPT, "north", true, OBJECTIVE, SETTLED)
@@ -240,14 +240,14 @@
     @Test
     void partsOfOlderWeightsAreOutdated() {
         directory.applyStoreUpdate(
-                STORE, news(1, held("w1", "sheet", 10), held("w2.mine", "sheet", 10)), SETTLED, SETTLED);
+                STORE, update(1, held("w1", "sheet", 10), held("w2.mine", "sheet", 10)), SETTLED, SETTLED);
 
         assertThat(directory.outdatedParts(STORE, 2)).containsExactly(new PartKey("w1", "sheet"));
     }
 
-    /** A mine's dossier must never be found by a request of another mine, nor by one under other weights. */
+    /** An isolated customer's part must never be found by a request of another customer, nor under other weights. */
     @Test
-    void saltsKeepWeightsAndIsolatedCustomersApart() {
+    void saltSeparatesWeightsAndIsolatedCustomers() {
         Optional<CustomerIdentity> isolated = Optional.of(new CustomerIdentity("mine", OptionalInt.empty(), true));
         Optional<CustomerIdentity> shared = Optional.of(new CustomerIdentity("depot", OptionalInt.empty(), false));
 
@@ -262,7 +262,7 @@
         assertThat(PartKey.weightVersion("request-7")).isEmpty();
     }
 
-    private static StoreUpdate news(long incarnation, PartEvent... events) {
+    private static StoreUpdate update(long incarnation, PartEvent... events) {
         return new StoreUpdate(incarnation, 1, false, List.of(events), OptionalLong.of(SETTLED));
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartRetirementTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/PartRetirementTest.java
@@ -10,11 +10,11 @@
     private final PartRetirement retirement = new PartRetirement();
 
     /**
-     * Weights were replaced, and prompts read under the new ones found stores full of the old ones' parts for ten
-     * seconds: 390 of 710 thousand tokens that were read again on one day had found no room.
+     * After weights were replaced, stores stayed full of the old ones' parts for ten seconds: 390 of 710 thousand
+     * tokens that were recomputed on one day had found no room.
      */
     @Test
-    void partsAreFreedOnceNoFetchOfThemCanGoOn() {
+    void partsAreEvictableAfterLastPossibleFetch() {
         retirement.updateOldestServed(1, 0);
         retirement.updateOldestServed(2, 5_000);
 
@@ -22,9 +22,9 @@
         assertThat(retirement.evictableBefore(5_000 + WAIT)).isEqualTo(2);
     }
 
-    /** An engine loses power while it fetches and starts again with the weights that it had. */
+    /** An engine loses power while it fetches and restarts with the weights that it had. */
     @Test
-    void anEngineThatComesBackWithOldWeightsKeepsTheirParts() {
+    void engineRestartedWithOldWeightsKeepsTheirParts() {
         retirement.updateOldestServed(2, 0);
         retirement.updateOldestServed(1, 100);
         assertThat(retirement.evictableBefore(100 + WAIT)).isEqualTo(1);
@@ -34,9 +34,12 @@
         assertThat(retirement.evictableBefore(200 + WAIT)).isEqualTo(2);
     }
 
-    /** A second version is named before the first is everywhere: the oldest parts needn't wait for it. */
+    /**
+     * A second version becomes desired before all engines serve the first: eviction of the oldest parts need not wait
+     * for it.
+     */
     @Test
-    void eachVersionsPartsAreFreedByThemselves() {
+    void versionsBecomeEvictableIndependently() {
         retirement.updateOldestServed(1, 0);
         retirement.updateOldestServed(2, 4_000);
         retirement.updateOldestServed(2, 6_000);
@@ -47,7 +50,7 @@
     }
 
     @Test
-    void nothingIsFreedWhileTheWeightsAreUnknown() {
+    void nothingIsEvictableWhileWeightsAreUnknown() {
         retirement.updateOldestServed(0, 0);
         assertThat(retirement.evictableBefore(60_000)).isZero();
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/StorePollScheduleTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/parts/StorePollScheduleTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.rattanrudder.core.model.Address;
 
-class NewsDutyTest {
-    /** Thirty relays ask each store all the time, it refuses most of them, and each refusal is paid for. */
+class StorePollScheduleTest {
+    /** When thirty relays poll each store continuously, it rejects most polls and charges for each rejection. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 6, 30})
-    void aFewRelaysAskAndTheOthersOnlyAfterAWhile(int count) {
+    void onlyPollersPollAtIntervalAndOthersAreStaggered(int count) {
         List<String> relays =
                 IntStream.range(0, count).mapToObj(number -> "relay-" + number).toList();
         Address store = new Address("10.0.0.1", 80);
@@ -34,20 +34,20 @@
                 .allMatch(wait -> wait >= 1_000);
     }
 
-    /** Relays come and go: an order that was worked out before must not decide for those that are there now. */
+    /** Relays join and leave: cached ranks must not affect the result for the current relays. */
     @Test
-    void aDutyFollowsTheRelaysThatAreThere() {
+    void pollDelayFollowsRelayChanges() {
         Address store = new Address("10.0.0.1", 80);
         Set<String> all =
                 IntStream.range(0, 30).mapToObj(number -> "relay-" + number).collect(Collectors.toSet());
         for (String relay : all) {
-            StorePollSchedule duty = new StorePollSchedule(relay, store);
+            StorePollSchedule schedule = new StorePollSchedule(relay, store);
             Set<String> others =
                     all.stream().filter(other -> !other.equals(relay)).collect(Collectors.toSet());
-            duty.pollDelayMillis(others);
+            schedule.pollDelayMillis(others);
 
-            assertThat(duty.pollDelayMillis(Set.of())).isEqualTo(StorePollSchedule.POLL_INTERVAL_MILLIS);
-            assertThat(duty.pollDelayMillis(others))
+            assertThat(schedule.pollDelayMillis(Set.of())).isEqualTo(StorePollSchedule.POLL_INTERVAL_MILLIS);
+            assertThat(schedule.pollDelayMillis(others))
                     .isEqualTo(new StorePollSchedule(relay, store).pollDelayMillis(others));
         }
     }
