--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/AttemptOutcome.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/AttemptOutcome.java
@@ -1,18 +1,18 @@
 package org.rattanrudder.core.gateway;
 
-/** How an attempt at a target ended without an answer that can be passed on. */
+/** How an attempt at a target ended without a response that can be forwarded. */
 public enum AttemptOutcome {
-    /** No connection could be had: the target has seen nothing. */
+    /** No connection could be opened: the target has received nothing. */
     NOT_SENT(false),
-    /** The target said that it didn't run the request. */
+    /** The target confirmed that it did not run the request. */
     REJECTED(false),
-    /** The target isn't the one that was meant, or has other weights; it didn't run the request. */
+    /** The request was meant for another target, or for other weights, and did not run. */
     MISDIRECTED(false),
-    /** The connection ended, or what came was no answer; the request may have run. */
+    /** The connection was closed, or the response was invalid; the request may have run. */
     BROKEN(true),
-    /** Nothing came in time; the request may have run. */
+    /** The response timed out; the request may have run. */
     SILENT(true),
-    /** The target ran the request and answered that it failed. */
+    /** The target ran the request and responded with an error. */
     FAILED(true);
 
     private final boolean mayHaveRun;
@@ -21,7 +21,7 @@
         this.mayHaveRun = mayHaveRun;
     }
 
-    /** Returns whether the target may have worked on the request. */
+    /** Returns whether the target may have executed the request. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ContextStore.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ContextStore.java
@@ -5,13 +5,13 @@
 /**
  * A store of cached context that engines read from and write to.
  *
- * @param name its service's name
- * @param address where engines and we reach it
- * @param failureDomain where it stands
- * @param capacityTokens its room, in tokens
- * @param linkMbps its link's speed, in Mbit/s
- * @param firstMillis what each transfer waits before its first byte
- * @param managed whether it frees nothing by itself
+ * @param name the name of its service
+ * @param address the address at which engines and relays reach it
+ * @param failureDomain its failure domain
+ * @param capacityTokens its capacity, in tokens
+ * @param linkMbps the speed of its link, in Mbit/s
+ * @param firstMillis the latency of each transfer until its first byte
+ * @param managed whether it evicts nothing by itself
  */
 public record ContextStore(
         String name,
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/CustomerIdentity.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/CustomerIdentity.java
@@ -5,8 +5,8 @@
 /**
  * The customer that a credential belongs to.
  *
- * @param name its name, as targets are told it
- * @param priority the rank of its requests, which goes before the route's; empty if the route's holds
- * @param isolated whether it shares no cached context with any other customer
+ * @param name its name, as sent to targets
+ * @param priority the priority of its requests, which overrides that of the route; empty if the route's applies
+ * @param isolated whether it shares no cached context with other customers
  */
 public record CustomerIdentity(String name, OptionalInt priority, boolean isolated) {}
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/EngineTraits.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/EngineTraits.java
@@ -1,11 +1,11 @@
 package org.rattanrudder.core.gateway;
 
 /**
- * What the model engines of a service can do.
+ * Properties of the model engines of a service.
  *
- * @param slots requests that run at once in one engine
- * @param capacityTokens memory of one engine, in tokens
- * @param bytesPerToken memory of a token, in bytes
+ * @param slots how many requests one engine runs concurrently
+ * @param capacityTokens the memory of one engine, in tokens
+ * @param bytesPerToken the memory of one token, in bytes
  * @param linkMbps the speed of an engine's link for cached context, in Mbit/s
  */
 public record EngineTraits(int slots, long capacityTokens, long bytesPerToken, double linkMbps) {}
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/EventLoopLag.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/EventLoopLag.java
@@ -1,41 +1,42 @@
 package org.rattanrudder.core.gateway;
 
 /**
- * Knows whether the event loop has lately run late.
+ * Detects whether the event loop has recently run late.
  *
- * <p>After a start, a freeze or a long pause requests lie read but unseen, and some of their callers have left: the
- * close lies right behind the request, and is seen only in the loop's next turn. Sent on at once, such requests reach
- * targets for nobody. While the loop is late they wait for a turn; at other times that would only cost a wake-up each.
+ * <p>After a start, a freeze or a long pause, requests may sit unprocessed in socket buffers, and some of their callers
+ * have already left: the connection's close follows right after the request and is seen only in the loop's next
+ * iteration. If sent on at once, such requests would reach targets although no caller waits for them. While the loop is
+ * late they are deferred by one iteration; at other times that would only cost an extra wake-up each.
  *
- * <p>Times are milliseconds of a steady clock.
+ * <p>Times are milliseconds of a monotonic clock.
  */
 public final class EventLoopLag {
-    /** A regular task that is this late shows that requests may have waited. */
+    /** If a periodic task is this late, requests may have waited unprocessed. */
     private static final long LATE_MILLIS = 250;
 
-    /** How long after a start or a late turn there may be such requests: what waited is worked off. */
-    private static final long WORKED_OFF_MILLIS = 3_000;
+    /** How long after a start or a late iteration the backlog may contain such requests. */
+    private static final long CATCH_UP_MILLIS = 3_000;
 
-    private final long everyMillis;
+    private final long periodMillis;
     private long expectedAt;
     private long lateUntil;
 
-    /** Makes the state of a loop that starts now, with a regular task of the given period. */
-    public EventLoopLag(long nowMillis, long everyMillis) {
-        this.everyMillis = everyMillis;
-        expectedAt = nowMillis + everyMillis;
-        lateUntil = nowMillis + WORKED_OFF_MILLIS;
+    /** Creates the state of a loop that starts now, with a periodic task of the given period. */
+    public EventLoopLag(long nowMillis, long periodMillis) {
+        this.periodMillis = periodMillis;
+        expectedAt = nowMillis + periodMillis;
+        lateUntil = nowMillis + CATCH_UP_MILLIS;
     }
 
-    /** Notes a run of the regular task. */
+    /** Records a run of the periodic task. */
     public void onTaskRun(long nowMillis) {
         if (nowMillis - expectedAt > LATE_MILLIS) {
-            lateUntil = nowMillis + WORKED_OFF_MILLIS;
+            lateUntil = nowMillis + CATCH_UP_MILLIS;
         }
-        expectedAt = nowMillis + everyMillis;
+        expectedAt = nowMillis + periodMillis;
     }
 
-    /** Returns whether a request may have waited unseen. */
+    /** Returns whether a request may have waited unprocessed. */
     public boolean isLate(long nowMillis) {
         return nowMillis < lateUntil || nowMillis - expectedAt > LATE_MILLIS;
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/PromptPart.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/PromptPart.java
@@ -3,7 +3,7 @@
 /**
  * A part of a prompt that other requests may share.
  *
- * @param id names its content
+ * @param id identifies its content
  * @param tokens its length
  */
 public record PromptPart(String id, int tokens) {}
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RepeatRule.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RepeatRule.java
@@ -1,14 +1,14 @@
 package org.rattanrudder.core.gateway;
 
-/** Whether a request may run again after an attempt whose outcome isn't known. */
+/** Whether a request may run again after an attempt with an unknown outcome. */
 public enum RepeatRule {
     /** May run any number of times. */
     IDEMPOTENT(false, true),
-    /** Runs once at most. */
+    /** Runs at most once. */
     AT_MOST_ONCE(false, false),
-    /** An event stream that runs once at most. */
+    /** An event stream that runs at most once. */
     STREAM_ONCE(true, false),
-    /** An event stream that another target may continue after the last event that was delivered. */
+    /** An event stream that another target may resume after the last delivered event. */
     STREAM_RESUMABLE(true, true);
 
     private final boolean stream;
@@ -19,12 +19,12 @@
         this.repeatable = repeatable;
     }
 
-    /** Returns whether the answer is an event stream. */
+    /** Returns whether the response is an event stream. */
     public boolean stream() {
         return stream;
     }
 
-    /** Returns whether an attempt that may have run can be followed by another one. */
+    /** Returns whether another attempt may follow one that may have run. */
     public boolean repeatable() {
         return repeatable;
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RequestMetadata.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RequestMetadata.java
@@ -5,17 +5,17 @@
 import java.util.OptionalLong;
 
 /**
- * What a request's head says of it.
+ * Metadata from a request's head.
  *
- * @param id the caller's name for this attempt; empty if it gave none
- * @param host the host that it names; empty if none
+ * @param id the caller's id for this attempt; empty if not given
+ * @param host the requested host; empty if not given
  * @param deadlineMillis how long the caller waits, from when it sent the request
- * @param credential what it identifies itself by
- * @param model the model that it asks for; empty for plain services
- * @param parts its prompt in order, the last one its own
- * @param promptTokens the prompt's length; 0 if unknown
- * @param maxOutputTokens the most tokens that it wants; 0 if unknown
- * @param lastEventId the event after which a stream goes on; empty from the start
+ * @param credential the caller's credential
+ * @param model the requested model; empty for plain services
+ * @param parts the prompt in order; its last part isn't shared
+ * @param promptTokens the length of the prompt; 0 if unknown
+ * @param maxOutputTokens the maximum number of output tokens; 0 if unknown
+ * @param lastEventId the event after which a stream resumes; empty to start from the beginning
  */
 public record RequestMetadata(
         String id,
@@ -27,7 +27,6 @@
         int promptTokens,
         int maxOutputTokens,
         Optional<String> lastEventId) {
-    /** Takes a copy of the parts. */
     public RequestMetadata {
         parts = List.copyOf(parts);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseClassifier.java
@@ -3,15 +3,15 @@
 import java.util.Set;
 
 /**
- * Decides from the head of a target's answer what becomes of it.
+ * Decides from the head of a target's response how to handle it.
  *
- * <p>A success that the target doesn't vouch for isn't its answer. A failure is passed on as it is, but for two cases:
- * another target may do better, or its status would promise the caller that the request did not run, which the target
- * hasn't said.
+ * <p>A success without the target's signature isn't a valid response. An error is forwarded unchanged, with two
+ * exceptions: another target may succeed, or the status would assure the caller that the request did not run, which the
+ * target hasn't confirmed.
  */
 public final class ResponseClassifier {
-    /** Statuses that promise a caller that its request did not run. */
-    private static final Set<Integer> PROMISES = Set.of(408, 429, 503);
+    /** Statuses that assure a caller that its request did not run. */
+    private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 429, 503);
 
     private static final int FIRST_SUCCESS = 200;
     private static final int FIRST_REDIRECT = 300;
@@ -19,35 +19,35 @@
 
     private ResponseClassifier() {}
 
-    /** What becomes of an answer. */
+    /** How to handle a response. */
     public enum Verdict {
-        /** It goes to the caller. */
+        /** Forward it to the caller. */
         FORWARD,
-        /** Another target, or other weights, were meant; the request did not run. */
+        /** The request was meant for another target, or for other weights, and did not run. */
         MISDIRECTED,
-        /** The target says that it didn't run the request. */
+        /** The target confirmed that it did not run the request. */
         REJECTED,
-        /** It claims success without the target's word for it: it isn't an answer. */
+        /** A success without the target's signature, which is not a valid response. */
         INVALID_RESPONSE,
-        /** The request failed there; another target is tried, or the caller gets a failure of our own. */
+        /** The request failed; another target is tried, or the caller gets an error from the relay. */
         RETRY_OR_FAIL
     }
 
     /**
-     * What the head of an answer says.
+     * The relevant parts of a response head.
      *
      * @param status the HTTP status
-     * @param signed whether the target vouches for it
-     * @param notRun whether the target says that it didn't run the request
-     * @param misdirected whether another target or other weights were meant
+     * @param signed whether the target has signed the response
+     * @param notRun whether the target confirms that it did not run the request
+     * @param misdirected whether the request was meant for another target or other weights
      */
     public record Head(int status, boolean signed, boolean notRun, boolean misdirected) {}
 
     /**
-     * Judges an answer.
+     * Classifies a response.
      *
      * @param head its head
-     * @param progress the request's progress, this attempt counted as one that may have run
+     * @param progress the request's progress, with this attempt counted as one that may have run
      */
     public static Verdict classify(Head head, RetryPolicy.Progress progress) {
         if (head.misdirected()) {
@@ -61,7 +61,7 @@
         }
         boolean failure = head.status() >= FIRST_SERVER_ERROR;
         boolean replaced = progress.responseStarted()
-                || PROMISES.contains(head.status())
+                || NOT_RUN_STATUSES.contains(head.status())
                 || failure && RetryPolicy.mayRetry(progress, AttemptOutcome.FAILED);
         return replaced ? Verdict.RETRY_OR_FAIL : Verdict.FORWARD;
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseTimeouts.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ResponseTimeouts.java
@@ -1,65 +1,70 @@
 package org.rattanrudder.core.gateway;
 
 /**
- * Decides how long a silent target is waited for before another one is tried.
+ * Decides how long to wait for an unresponsive target before another one is tried.
  *
- * <p>Only requests that may be repeated are tried elsewhere. A target that serves others meanwhile isn't dead: the
- * request waits its turn there, and would have to wait again elsewhere.
+ * <p>Only requests that may be repeated are tried elsewhere. A target that responds to other requests meanwhile isn't
+ * down: the request is queued there, and would have to queue again at another target.
  */
 public final class ResponseTimeouts {
-    /** Silence before a stream's first event, as a multiple of the objective. */
-    private static final double FIRST_EVENT = 2.0;
+    /** Timeout for a stream's first event, as a multiple of the objective. */
+    private static final double FIRST_EVENT_RATIO = 2.0;
 
-    /** Silence between events, as a multiple of the longest pause that is on time. */
-    private static final double PAUSE = 2.5;
+    /** Timeout between events, as a multiple of the maximum pause that is on time. */
+    private static final double PAUSE_RATIO = 2.5;
 
-    /** By how much longer a target is waited for that serves other requests. */
-    private static final int ALIVE = 3;
+    /** How many times longer to wait for a target that responds to other requests. */
+    private static final int ACTIVE_TARGET_FACTOR = 3;
 
-    /** The part of the objective after which a plain request is tried elsewhere: the rest does for its work there. */
-    private static final double PLAIN = 0.9;
+    /**
+     * The part of the objective after which a plain request is tried elsewhere; the rest suffices to process it there.
+     */
+    private static final double PLAIN_RATIO = 0.9;
 
-    /** The part of the patience after which a silent target is looked at. */
-    private static final double SUSPICIOUS = 0.25;
+    /** The part of the timeout after which an unresponsive target is probed. */
+    private static final double PROBE_RATIO = 0.25;
 
-    /** The least silence that is suspicious, in ms: calls of plain services take some tens. */
-    private static final long LEAST_SUSPICIOUS_MILLIS = 200;
+    /** Minimum time before a probe: calls of plain services take some tens of ms. */
+    private static final long MIN_PROBE_MILLIS = 200;
 
-    /** The least silence after which a target that can't be reached is given up, in ms. */
-    private static final long GONE_MILLIS = 100;
+    /** Response timeout for a target that can't be reached. */
+    private static final long UNREACHABLE_TIMEOUT_MILLIS = 100;
 
     private ResponseTimeouts() {}
 
     /**
-     * Returns how long a target may be silent, in ms.
+     * Returns how long to wait for a response.
      *
-     * @param gone whether no connection to it can be had any more
+     * @param unreachable whether connections to the target can no longer be opened
      */
-    public static long timeoutMillis(ServiceRoute route, boolean answerBegan, boolean gone) {
-        return gone ? GONE_MILLIS : timeoutMillis(route, answerBegan);
+    public static long timeoutMillis(ServiceRoute route, boolean responseStarted, boolean unreachable) {
+        return unreachable ? UNREACHABLE_TIMEOUT_MILLIS : timeoutMillis(route, responseStarted);
     }
 
-    /** Returns after which silence a target may be gone, in ms. */
-    public static long probeAfterMillis(ServiceRoute route, boolean answerBegan) {
-        return Math.max(LEAST_SUSPICIOUS_MILLIS, (long) (timeoutMillis(route, answerBegan) * SUSPICIOUS));
+    /** Returns after how long without a response the target is probed. */
+    public static long probeAfterMillis(ServiceRoute route, boolean responseStarted) {
+        return Math.max(MIN_PROBE_MILLIS, (long) (timeoutMillis(route, responseStarted) * PROBE_RATIO));
     }
 
-    /** Returns how long a target that can be reached may be silent, in ms. */
-    public static long timeoutMillis(ServiceRoute route, boolean answerBegan) {
+    /** Returns how long to wait for a response of a reachable target. */
+    public static long timeoutMillis(ServiceRoute route, boolean responseStarted) {
         if (!route.repeat().stream()) {
-            return (long) (route.objectiveMillis() * PLAIN);
+            return (long) (route.objectiveMillis() * PLAIN_RATIO);
         }
-        return (long) (answerBegan ? route.maxPauseMillis() * PAUSE : route.objectiveMillis() * FIRST_EVENT);
+        return (long)
+                (responseStarted ? route.maxPauseMillis() * PAUSE_RATIO : route.objectiveMillis() * FIRST_EVENT_RATIO);
     }
 
     /**
-     * Returns whether a target that was silent for longer than that is waited for all the same.
+     * Returns whether to keep waiting for a target after its response has timed out.
      *
-     * @param quietMillis how long it was silent for this request
-     * @param servesOthers whether something came from it for other requests meanwhile
+     * @param quietMillis how long nothing was received for this request
+     * @param servesOthers whether anything was received for other requests meanwhile
      */
     public static boolean keepsWaiting(
-            ServiceRoute route, boolean answerBegan, long quietMillis, boolean servesOthers) {
-        return route.repeat().stream() && servesOthers && quietMillis < ALIVE * timeoutMillis(route, answerBegan);
+            ServiceRoute route, boolean responseStarted, long quietMillis, boolean servesOthers) {
+        return route.repeat().stream()
+                && servesOthers
+                && quietMillis < ACTIVE_TARGET_FACTOR * timeoutMillis(route, responseStarted);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RetryPolicy.java
@@ -3,32 +3,33 @@
 import org.rattanrudder.core.model.ErrorKind;
 
 /**
- * Decides whether a request whose attempt failed goes to another target.
+ * Decides whether a request whose attempt failed is sent to another target.
  *
- * <p>Two promises meet here. A request that may run only once is sent again only after a target said that it didn't run
- * it, or if nothing of it had left. And what callers are told of the end is true: "not run" is said only if no attempt
- * may have run.
+ * <p>Two guarantees hold. A request that may run only once is sent again only if a target confirmed that it did not run
+ * the request, or if none of it was sent. And the error that a caller gets is correct: it states that the request did
+ * not run only if no attempt may have run.
  */
 public final class RetryPolicy {
     /**
-     * Sends that end without a run, at most, for one request. A target that is full or gone says so in milliseconds;
-     * more tries than a few mean that the whole service is, and each costs targets and the retry budget.
+     * Maximum number of attempts per request that end without execution. A target that is full or down rejects within
+     * milliseconds; after a few such attempts the whole service is likely to be in that state, and each further one
+     * costs target capacity and retry budget.
      */
     public static final int MAX_UNEXECUTED_SENDS = 4;
 
-    /** Time left below which no further attempt is worth its cost, in ms: a round trip and the shortest answers. */
+    /** Minimum remaining time for which another attempt is worthwhile: a round trip and the fastest responses. */
     public static final long MIN_RETRY_MILLIS = 30;
 
     private RetryPolicy() {}
 
     /**
-     * What is known of a request when an attempt has failed.
+     * The state of a request when an attempt has failed.
      *
      * @param route its route
-     * @param possibleRuns attempts that may have run, the failed one included
-     * @param unexecutedSends attempts that surely did not run, the failed one included
-     * @param responseStarted whether something of an answer has gone to the caller
-     * @param resumable whether what the caller has can be continued by another target
+     * @param possibleRuns attempts that may have run, including the failed one
+     * @param unexecutedSends attempts that certainly did not run, including the failed one
+     * @param responseStarted whether a part of the response was sent to the caller
+     * @param resumable whether another target can continue the response from what the caller has received
      * @param remainingMillis the time until its deadline
      */
     public record Progress(
@@ -39,7 +40,7 @@
             boolean resumable,
             long remainingMillis) {}
 
-    /** Returns whether the request may go to another target, if the retry budget has room. */
+    /** Returns whether the request may be sent to another target, subject to the retry budget. */
     public static boolean mayRetry(Progress progress, AttemptOutcome outcome) {
         if (progress.remainingMillis() < MIN_RETRY_MILLIS) {
             return false;
@@ -57,13 +58,13 @@
     }
 
     /**
-     * Returns the error that the caller gets when no further attempt is made and no answer has begun.
+     * Returns the error that the caller gets when no further attempt is made and no response has started.
      *
-     * @param runs attempts that may have run
+     * @param possibleRuns attempts that may have run
      * @param outcome how the last attempt ended
      */
-    public static ErrorKind finalError(int runs, AttemptOutcome outcome) {
-        if (runs == 0) {
+    public static ErrorKind finalError(int possibleRuns, AttemptOutcome outcome) {
+        if (possibleRuns == 0) {
             return outcome == AttemptOutcome.REJECTED ? ErrorKind.OVERLOADED : ErrorKind.NO_TARGET;
         }
         return outcome == AttemptOutcome.SILENT ? ErrorKind.TARGET_SILENT : ErrorKind.TARGET_FAILED;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RouteTable.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/RouteTable.java
@@ -7,15 +7,15 @@
 import java.util.Optional;
 
 /**
- * Finds the route of a request by its host and the longest prefix of its path.
+ * Finds the route of a request by its host and the longest matching path prefix.
  *
- * <p>Prefixes end with a slash, so a look-up tries the path up to each of its slashes, the last first: its cost grows
- * with the depth of the path and not with the number of routes.
+ * <p>Prefixes end with a slash, so a lookup tries the path up to each of its slashes, from the last to the first: its
+ * cost grows with the depth of the path and not with the number of routes.
  */
 public final class RouteTable {
     private final Map<String, Map<String, ServiceRoute>> byHost = new HashMap<>();
 
-    /** Takes the routes; of two with one host and prefix the later one holds. */
+    /** Creates a table; if two routes have the same host and prefix, the later one wins. */
     public RouteTable(List<ServiceRoute> routes) {
         for (ServiceRoute route : routes) {
             byHost.computeIfAbsent(route.host().toLowerCase(Locale.ROOT), unseen -> new HashMap<>())
@@ -26,7 +26,7 @@
     /**
      * Returns the route of a request.
      *
-     * @param host as the request names it, with or without a port
+     * @param host the requested host, with or without a port
      * @param target the request target: a path with or without a query
      */
     public Optional<ServiceRoute> find(String host, String target) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServiceRoute.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServiceRoute.java
@@ -4,19 +4,19 @@
 import org.rattanrudder.core.routing.Hashing;
 
 /**
- * Where the requests of one host and path prefix go, and what is promised for them.
+ * The services and limits for requests to one host and path prefix.
  *
  * @param name unique within a configuration
  * @param host the host, in lower case
  * @param pathPrefix begins and ends with a slash
  * @param repeat whether a request may run again
- * @param timeoutMillis the longest that a request is kept waiting
- * @param objectiveMillis the latency objective: to the whole answer, or to the first event of a stream
- * @param maxPauseMillis the longest pause between events of a stream that is still on time; 0 for other routes
- * @param priority the rank of its requests, 0 first
+ * @param timeoutMillis the maximum time that a request is kept waiting
+ * @param objectiveMillis the latency objective: until the whole response, or until the first event of a stream
+ * @param maxPauseMillis the maximum pause between events of a stream that is on time; 0 for other routes
+ * @param priority the priority of its requests, 0 first
  * @param services the services that share its requests, at least one
- * @param maxAttempts to how many targets one request may be sent
- * @param publicAccess whether no credential is asked for
+ * @param maxAttempts the maximum number of targets that one request may be sent to
+ * @param publicAccess whether no credential is required
  */
 public record ServiceRoute(
         String name,
@@ -30,12 +30,11 @@
         List<WeightedService> services,
         int maxAttempts,
         boolean publicAccess) {
-    /** Takes a copy of the services. */
     public ServiceRoute {
         services = List.copyOf(services);
     }
 
-    /** Returns the service of a request: drawn by the hash of its id, in proportion to the weights. */
+    /** Returns the service of a request, selected by the hash of its id in proportion to the weights. */
     public String serviceFor(String requestId) {
         if (services.size() == 1) {
             return services.get(0).service();
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServingConfiguration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ServingConfiguration.java
@@ -6,18 +6,18 @@
 import org.rattanrudder.core.model.ErrorKind;
 
 /**
- * One version of what operators want served; immutable.
+ * One immutable version of the desired configuration.
  *
  * <pre>{@code
- * Admittance admittance = configuration.admit(host, path, Optional.of(credential));
+ * AccessDecision decision = configuration.authorize(host, path, Optional.of(credential));
  * }</pre>
  *
  * @param version increases with each change, not always by one
- * @param routes where requests go
+ * @param routes the routes of requests
  * @param services the services by name
  * @param stores the stores of cached context
- * @param limits what callers may send
- * @param customers customers by credential; empty if no route asks for one
+ * @param limits the limits for callers
+ * @param customers the customers by credential; empty if no route requires one
  */
 public record ServingConfiguration(
         long version,
@@ -26,27 +26,26 @@
         List<ContextStore> stores,
         CallerLimits limits,
         Optional<Map<String, CustomerIdentity>> customers) {
-    /** Takes copies of the collections. */
     public ServingConfiguration {
         services = Map.copyOf(services);
         stores = List.copyOf(stores);
         customers = customers.map(Map::copyOf);
     }
 
-    /** Whether a request may be served, and as whose. */
+    /** Whether a request may be served, and for which customer. */
     public sealed interface AccessDecision {
         /**
          * The request may be served.
          *
          * @param route its route
-         * @param customer whose it is; empty on routes that ask for no credential
+         * @param customer its customer; empty on routes that require no credential
          */
         record Granted(ServiceRoute route, Optional<CustomerIdentity> customer) implements AccessDecision {}
 
         /**
          * The request may not be served.
          *
-         * @param error why
+         * @param error the reason
          */
         record Denied(ErrorKind error) implements AccessDecision {}
     }
@@ -54,9 +53,9 @@
     /**
      * Decides whether a request may be served.
      *
-     * @param host the host that it names
-     * @param target its path with or without a query
-     * @param credential what it brings; empty if none
+     * @param host the requested host
+     * @param target the request target: a path with or without a query
+     * @param credential the request's credential; empty if none
      */
     public AccessDecision authorize(String host, String target, Optional<String> credential) {
         Optional<ServiceRoute> route = routes.find(host, target);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ShutdownPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/ShutdownPolicy.java
@@ -1,63 +1,68 @@
 package org.rattanrudder.core.gateway;
 
 /**
- * Decides which requests a gateway still takes after it was asked to stop.
+ * Decides which requests a relay still accepts after it was asked to stop.
  *
- * <p>What it has taken must end before the process is ended by force. A plain request ends by its route's timeout at
- * the latest. A stream may run for many seconds, so that one is taken only while callers can't yet know that they
- * should go elsewhere.
+ * <p>Accepted requests must end before the process is killed. A plain request ends by its route's timeout at the
+ * latest. A stream may run for many seconds, so one is accepted only while callers can't yet know that the relay is
+ * stopping.
  */
 public final class ShutdownPolicy {
     /**
-     * How long a gateway that was asked to stop stays ready while no other one is, in ms. Gateways that are restarted
-     * in turn, faster than each needs to end its requests and come back, would else all be away at once: three of three
-     * were, for two seconds. Four seconds after the request to stop callers must have gone elsewhere, and they come
-     * until two readiness checks a second apart were missed: with 2.8 s two of six still had new ones then.
+     * How long a stopping relay stays ready while no other relay is. Without it, a rolling restart that is faster than
+     * each relay needs to finish its requests and come back would leave no relay ready: three of three were down for
+     * two seconds. Callers must have moved to other relays four seconds after the stop request, and new connections
+     * arrive until two readiness checks a second apart have failed: with 2.8 s, two of six relays still got new ones
+     * after that.
      */
-    private static final long STAY_MILLIS = 1_800;
+    private static final long MAX_READINESS_HOLD_MILLIS = 1_800;
 
     /**
-     * How long callers come that can't know better, in ms: new connections come until two readiness checks were missed,
-     * after 2 s at most. Streams are taken so long after the request to stop. After readiness was taken back, so long
-     * everything is; requests that come later, on connections that were open before, are refused as not run.
+     * How long callers that can't know of the stop keep coming: new connections arrive until two readiness checks have
+     * failed, at most 2 s later. Streams are accepted for this time after the stop request. All requests are accepted
+     * for this time after readiness was withdrawn; later ones, on connections that were already open, are refused as
+     * not run.
      */
-    private static final long CALLERS_LEAVE_MILLIS = 2_600;
+    private static final long MAX_CALLER_DRAIN_MILLIS = 2_600;
 
-    /** How long before the forced end all must have ended, in ms: the last answers leave, and the process ends. */
-    private static final long END_MARGIN_MILLIS = 800;
+    /**
+     * How long before the process is killed all requests must have ended, so that the last responses are sent and the
+     * process exits.
+     */
+    private static final long MAX_EXIT_MARGIN_MILLIS = 800;
 
     /**
-     * The largest parts of a short grace: what is taken last keeps a fifth of it to end, where the times above would
-     * take up all of it. From 8 s on the times above are the smaller ones.
+     * Upper bounds of the times above as shares of a short grace period: the requests accepted last keep a fifth of it
+     * to finish, which the times above would use up. From 8 s on the times above are the smaller ones.
      */
-    private static final double STAY_PART = 0.35;
+    private static final double READINESS_HOLD_SHARE = 0.35;
 
-    private static final double CALLERS_LEAVE_PART = 0.325;
-    private static final double END_MARGIN_PART = 0.1;
+    private static final double CALLER_DRAIN_SHARE = 0.325;
+    private static final double EXIT_MARGIN_SHARE = 0.1;
 
     private ShutdownPolicy() {}
 
-    /** Returns how long a gateway stays ready while no other one is, in ms from the request to stop. */
+    /** Returns how long a relay stays ready while no other one is, in ms from the stop request. */
     public static long readinessHoldMillis(long graceMillis) {
-        return Math.min(STAY_MILLIS, (long) (graceMillis * STAY_PART));
+        return Math.min(MAX_READINESS_HOLD_MILLIS, (long) (graceMillis * READINESS_HOLD_SHARE));
     }
 
-    /** Returns how long requests are taken because their callers can't know better, in ms. */
+    /** Returns how long requests are accepted since their callers can't know of the stop. */
     public static long callerDrainMillis(long graceMillis) {
-        return Math.min(CALLERS_LEAVE_MILLIS, (long) (graceMillis * CALLERS_LEAVE_PART));
+        return Math.min(MAX_CALLER_DRAIN_MILLIS, (long) (graceMillis * CALLER_DRAIN_SHARE));
     }
 
-    /** Returns how long before the forced end all must have ended, in ms. */
+    /** Returns how long before the process is killed all requests must have ended. */
     public static long exitMarginMillis(long graceMillis) {
-        return Math.min(END_MARGIN_MILLIS, (long) (graceMillis * END_MARGIN_PART));
+        return Math.min(MAX_EXIT_MARGIN_MILLIS, (long) (graceMillis * EXIT_MARGIN_SHARE));
     }
 
     /**
-     * Returns whether a request is taken.
+     * Returns whether a request is accepted.
      *
      * @param route its route
-     * @param sinceMillis how long ago the gateway was asked to stop
-     * @param graceMillis from the request to stop until the process is ended by force
+     * @param sinceMillis how long ago the relay was asked to stop
+     * @param graceMillis the time from the stop request until the process is killed
      */
     public static boolean accepts(ServiceRoute route, long sinceMillis, long graceMillis) {
         if (route.repeat().stream()) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/WindowedRetryBudget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/WindowedRetryBudget.java
@@ -4,28 +4,28 @@
 import java.util.Deque;
 
 /**
- * Bounds the sends of a service beyond the first of each request, over each window of a given length.
+ * Limits the retries of a service over a sliding window.
  *
- * <p>All gateways together have a ratio of the requests and a number on top. Requests are counted where they arrive, so
- * the ratio needs no agreement: each gateway takes its part of what it saw itself. The number on top is divided by the
- * number of gateways that are known, or by a least number if fewer are; a share that nobody uses is lost, which keeps
- * the sum true while a few gateways can't hear each other.
+ * <p>All relays together may retry a ratio of the requests, plus a fixed number. Each relay applies the ratio to the
+ * requests that it receives itself, which needs no coordination. The fixed number is divided by the number of known
+ * relays, or by a minimum if fewer are known. Unused shares are not redistributed, so the total stays within its limit
+ * even while some relays can't reach each other.
  */
 public final class WindowedRetryBudget {
-    /** The least number of gateways that the repeats on top are divided by: those that are known may be fewer. */
-    static final int LEAST_GATEWAYS = 16;
+    /** Minimum number of relays that the fixed number is divided by: there may be more relays than are known. */
+    static final int MIN_RELAYS = 16;
 
     private double ratio;
     private double extra;
     private final long windowMillis;
     private final Deque<Long> requests = new ArrayDeque<>();
-    private final Deque<Long> retryCount = new ArrayDeque<>();
+    private final Deque<Long> retries = new ArrayDeque<>();
 
     /**
-     * Makes an allowance.
+     * Creates a budget.
      *
-     * @param ratio repeats for each request in a window
-     * @param extra repeats on top of it in each window, for all gateways together
+     * @param ratio retries per request in a window
+     * @param extra further retries in each window, over all relays
      * @param windowMillis the length of a window
      */
     public WindowedRetryBudget(double ratio, double extra, long windowMillis) {
@@ -34,42 +34,42 @@
         this.windowMillis = windowMillis;
     }
 
-    /** Changes what is allowed; what was sent in the window before counts on. */
+    /** Changes the limits; requests and retries in the current window still count. */
     public void update(double newRatio, double newExtra) {
         ratio = newRatio;
         extra = newExtra;
     }
 
-    /** Notes the first send of a request. */
+    /** Records the first attempt of a request. */
     public void onRequest(long nowMillis) {
-        forget(nowMillis);
+        removeExpired(nowMillis);
         requests.addLast(nowMillis);
     }
 
     /**
-     * Takes a repeat; false if none is left in the window that ends now.
+     * Takes one retry from the budget; returns false if none is left in the window that ends now.
      *
-     * @param gateways how many gateways are known, this one included
+     * @param relays how many relays are known, including this one
      */
-    public boolean tryAcquire(int gateways, long nowMillis) {
-        forget(nowMillis);
-        double share = extra / Math.max(LEAST_GATEWAYS, gateways);
-        if (retryCount.size() + 1 > ratio * requests.size() + share) {
+    public boolean tryAcquire(int relays, long nowMillis) {
+        removeExpired(nowMillis);
+        double share = extra / Math.max(MIN_RELAYS, relays);
+        if (retries.size() + 1 > ratio * requests.size() + share) {
             return false;
         }
-        retryCount.addLast(nowMillis);
+        retries.addLast(nowMillis);
         return true;
     }
 
-    /** Returns the repeats in the window that ends now. */
+    /** Returns the number of retries in the window that ends now. */
     public int retryCount(long nowMillis) {
-        forget(nowMillis);
-        return retryCount.size();
+        removeExpired(nowMillis);
+        return retries.size();
     }
 
-    private void forget(long nowMillis) {
+    private void removeExpired(long nowMillis) {
         drop(requests, nowMillis);
-        drop(retryCount, nowMillis);
+        drop(retries, nowMillis);
     }
 
     private void drop(Deque<Long> times, long nowMillis) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/gateway/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Decides what becomes of one request at a gateway: its route, its customer, and each step after an attempt failed.
+ * Decides how a relay handles one request: its route, its customer, and each step after a failed attempt.
  *
- * <p>{@link org.rattanrudder.core.gateway.ServingConfiguration} is the front class.
+ * <p>{@link org.rattanrudder.core.gateway.ServingConfiguration} is the entry point.
  */
 package org.rattanrudder.core.gateway;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/EventLoopLagTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/EventLoopLagTest.java
@@ -4,16 +4,16 @@
 
 import org.junit.jupiter.api.Test;
 
-class LoopLagTest {
+class EventLoopLagTest {
     private static final long START = 10_000;
     private final EventLoopLag lag = new EventLoopLag(START, 500);
 
     /**
-     * A relay starts while clerks already wait in its queue. Some of them have given up, and their checks are sent on
-     * all the same; engines work for nobody.
+     * Requests wait in the sockets of a relay that is starting. Some of their callers have given up, but if the
+     * requests are sent on at once, engines compute responses that no caller receives.
      */
     @Test
-    void aLoopIsLateAfterItsStart() {
+    void loopIsLateAfterStart() {
         assertThat(lag.isLate(START + 100)).isTrue();
         run(START + 500, START + 4_000);
 
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void aLoopThatStoodStillIsLateForAWhile() {
+    void loopIsLateForSomeTimeAfterPause() {
         run(START + 500, START + 4_000);
 
         assertThat(lag.isLate(START + 6_000)).isTrue();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/ResponseTimeoutsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/ResponseTimeoutsTest.java
@@ -6,14 +6,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class PatienceTest {
+class ResponseTimeoutsTest {
     @ParameterizedTest
     @CsvSource({"IDEMPOTENT, false, 360", "STREAM_RESUMABLE, false, 800", "STREAM_RESUMABLE, true, 750"})
-    void silenceIsMeasuredByWhatIsOnTime(RepeatRule repeat, boolean began, long millis) {
-        assertThat(ResponseTimeouts.timeoutMillis(route(repeat), began)).isEqualTo(millis);
+    void timeoutFollowsObjective(RepeatRule repeat, boolean responseStarted, long millis) {
+        assertThat(ResponseTimeouts.timeoutMillis(route(repeat), responseStarted))
+                .isEqualTo(millis);
     }
 
-    /** Engines are busy; each check that is taken away from one after 800 ms is read anew by another, as busy. */
+    /**
+     * All engines are busy: each request that is moved to another engine after 800 ms needs its prompt computed again
+     * there.
+     */
     @ParameterizedTest
     @CsvSource({
         "STREAM_RESUMABLE, 900, true, true",
@@ -21,21 +25,23 @@
         "STREAM_RESUMABLE, 2400, true, false",
         "IDEMPOTENT, 400, true, false",
     })
-    void aTargetThatServesOthersIsWaitedFor(RepeatRule repeat, long quiet, boolean servesOthers, boolean expected) {
+    void keepsWaitingForTargetThatServesOtherRequests(
+            RepeatRule repeat, long quiet, boolean servesOthers, boolean expected) {
         assertThat(ResponseTimeouts.keepsWaiting(route(repeat), false, quiet, servesOthers))
                 .isEqualTo(expected);
     }
 
-    /** An engine's machine is gone; a check that could run elsewhere waited for it for twice its objective. */
+    /** An engine's machine is down; a request that could run elsewhere waited for it for twice its objective. */
     @ParameterizedTest
     @CsvSource({"IDEMPOTENT, false", "STREAM_RESUMABLE, false", "STREAM_RESUMABLE, true"})
-    void aTargetThatCannotBeReachedIsGivenUpSooner(RepeatRule repeat, boolean began) {
-        long suspicious = ResponseTimeouts.probeAfterMillis(route(repeat), began);
+    void unreachableTargetHasShorterTimeout(RepeatRule repeat, boolean responseStarted) {
+        long probeAfter = ResponseTimeouts.probeAfterMillis(route(repeat), responseStarted);
 
-        assertThat(ResponseTimeouts.timeoutMillis(route(repeat), began, true)).isLessThanOrEqualTo(suspicious);
-        assertThat(suspicious).isBetween(200L, ResponseTimeouts.timeoutMillis(route(repeat), began, false));
-        assertThat(ResponseTimeouts.timeoutMillis(route(repeat), began, false))
-                .isEqualTo(ResponseTimeouts.timeoutMillis(route(repeat), began));
+        assertThat(ResponseTimeouts.timeoutMillis(route(repeat), responseStarted, true))
+                .isLessThanOrEqualTo(probeAfter);
+        assertThat(probeAfter).isBetween(200L, ResponseTimeouts.timeoutMillis(route(repeat), responseStarted, false));
+        assertThat(ResponseTimeouts.timeoutMillis(route(repeat), responseStarted, false))
+                .isEqualTo(ResponseTimeouts.timeoutMillis(route(repeat), responseStarted));
     }
 
     private static ServiceRoute route(RepeatRule repeat) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/RetryPolicyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/RetryPolicyTest.java
@@ -13,30 +13,33 @@
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.RunState;
 
-class AttemptRulesTest {
-    /** A pump posts a litre count, the target dies after it has it, and a second target books it again. */
+class RetryPolicyTest {
+    /** A target crashes after it has received a POST that must not run twice; a second target would run it again. */
     @Property
-    void whatRunsOnceIsNeverSentAgainAfterItMayHaveRun(
+    void nonRepeatableRequestIsNeverRetriedAfterItMayHaveRun(
             @ForAll RepeatRule repeat,
             @ForAll AttemptOutcome outcome,
             @ForAll @IntRange(max = 3) int runs,
-            @ForAll @IntRange(max = 6) int unrun,
-            @ForAll @LongRange(max = 5_000) long left,
-            @ForAll boolean began) {
-        Progress progress = new Progress(route(repeat, 3), runs, unrun, began, false, left);
+            @ForAll @IntRange(max = 6) int unexecuted,
+            @ForAll @LongRange(max = 5_000) long remaining,
+            @ForAll boolean responseStarted) {
+        Progress progress = new Progress(route(repeat, 3), runs, unexecuted, responseStarted, false, remaining);
 
         boolean mayHaveRun = outcome.mayHaveRun() || runs > 0;
         if (mayHaveRun && !repeat.repeatable()) {
             assertThat(RetryPolicy.mayRetry(progress, outcome)).isFalse();
         }
-        if (began) {
+        if (responseStarted) {
             assertThat(RetryPolicy.mayRetry(progress, outcome)).isFalse();
         }
     }
 
-    /** A clerk is told "not run", asks again, and the check has been made twice. */
+    /**
+     * If a caller is wrongly informed that a request did not run, it sends the request again, which then runs twice.
+     */
     @Property
-    void notRunIsSaidOnlyIfNothingMayHaveRun(@ForAll AttemptOutcome outcome, @ForAll @IntRange(max = 3) int before) {
+    void notRunIsReportedOnlyIfNoAttemptMayHaveRun(
+            @ForAll AttemptOutcome outcome, @ForAll @IntRange(max = 3) int before) {
         int runs = before + (outcome.mayHaveRun() ? 1 : 0);
         ErrorKind error = RetryPolicy.finalError(runs, outcome);
 
@@ -56,9 +59,9 @@
         "STREAM_RESUMABLE, 2, 1, 0, SILENT, true",
         "STREAM_ONCE, 2, 1, 0, SILENT, false",
     })
-    void anotherTargetIsTriedWhileItIsAllowed(
-            RepeatRule repeat, int attempts, int runs, int unrun, AttemptOutcome outcome, boolean expected) {
-        Progress progress = new Progress(route(repeat, attempts), runs, unrun, false, false, 1_000);
+    void retriesWithinLimits(
+            RepeatRule repeat, int attempts, int runs, int unexecuted, AttemptOutcome outcome, boolean expected) {
+        Progress progress = new Progress(route(repeat, attempts), runs, unexecuted, false, false, 1_000);
 
         assertThat(RetryPolicy.mayRetry(progress, outcome)).isEqualTo(expected);
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/RouteTableTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/RouteTableTest.java
@@ -27,7 +27,7 @@
         "mine.example, /, ",
         "unknown.example, /logs/7, ",
     })
-    void theLongestPrefixOfTheHostWins(String host, String target, String expected) {
+    void longestPrefixOfHostWins(String host, String target, String expected) {
         Optional<String> found = TABLE.find(host, target).map(ServiceRoute::name);
 
         assertThat(found).isEqualTo(Optional.ofNullable(expected));
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/ServingConfigurationTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/ServingConfigurationTest.java
@@ -29,12 +29,12 @@
         "/open/1, wrong, granted",
         "/elsewhere, secret, UNKNOWN_PATH",
     })
-    void aRequestIsAdmittedByItsRouteAndCredential(String path, String credential, String expected) {
-        AccessDecision admittance = CONFIGURATION.authorize("h", path, Optional.ofNullable(credential));
+    void requestIsAuthorizedByRouteAndCredential(String path, String credential, String expected) {
+        AccessDecision decision = CONFIGURATION.authorize("h", path, Optional.ofNullable(credential));
 
-        String found = admittance instanceof AccessDecision.Granted granted
+        String found = decision instanceof AccessDecision.Granted granted
                 ? ("granted " + granted.customer().map(CustomerIdentity::name).orElse("")).trim()
-                : ((AccessDecision.Denied) admittance).error().name();
+                : ((AccessDecision.Denied) decision).error().name();
         assertThat(found).isEqualTo(expected);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/ShutdownPolicyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/ShutdownPolicyTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class StopRulesTest {
+class ShutdownPolicyTest {
     /**
-     * A relay is asked to stop while no other one is ready, and stays for some seconds. An auditor's question that it
-     * takes four seconds later still runs when the process must end, and is cut in the middle.
+     * A relay is asked to stop while no other one is ready, and stays ready for some seconds. A stream that it accepts
+     * four seconds after the stop request would still run when the process is killed.
      */
     @ParameterizedTest
     @CsvSource({
@@ -23,7 +23,7 @@
         "AT_MOST_ONCE, 800, 6401, false",
         "IDEMPOTENT, 9000, 100, false",
     })
-    void aRequestIsTakenOnlyIfItCanEnd(RepeatRule repeat, long timeout, long since, boolean expected) {
+    void requestIsAcceptedOnlyIfItCanFinish(RepeatRule repeat, long timeout, long since, boolean expected) {
         ServiceRoute route = new ServiceRoute(
                 "r", "h", "/", repeat, timeout, 400, 300, 0, List.of(new WeightedService("s", 1)), 2, true);
 
@@ -31,12 +31,12 @@
     }
 
     /**
-     * A deployment gives a process three seconds to stop. The relay stays ready for 2.8 of them, and what it takes in
-     * the next 2.6 is cut when the process is ended by force, without a word to its callers.
+     * A deployment gives a process three seconds to stop. If the relay stayed ready for 2.8 s, the requests that it
+     * accepts in the next 2.6 s would be cut off when the process is killed, without a response to their callers.
      */
     @ParameterizedTest
     @ValueSource(longs = {1_000, 2_000, 3_000, 4_000, 8_000, 30_000})
-    void whatIsTakenLastHasTimeToEnd(long grace) {
+    void lastAcceptedRequestHasTimeToFinish(long grace) {
         long lastTaken = ShutdownPolicy.readinessHoldMillis(grace) + ShutdownPolicy.callerDrainMillis(grace);
         long end = grace - ShutdownPolicy.exitMarginMillis(grace);
 
@@ -44,14 +44,14 @@
         assertThat(ShutdownPolicy.exitMarginMillis(grace)).isBetween(grace / 40, grace / 6);
     }
 
-    /** Long graces change nothing: callers need two seconds to find out, whatever the deployment. */
+    /** Longer grace periods don't change the times: callers need two seconds to notice a stop in any deployment. */
     @ParameterizedTest
     @CsvSource({"8000, 1800, 2600, 800", "30000, 1800, 2600, 800"})
-    void withTimeEnoughTheTimesAreThoseThatCallersNeed(long grace, long stay, long leave, long margin) {
+    void longerGracePeriodDoesNotChangeTimes(long grace, long readinessHold, long callerDrain, long margin) {
         assertThat(List.of(
                         ShutdownPolicy.readinessHoldMillis(grace),
                         ShutdownPolicy.callerDrainMillis(grace),
                         ShutdownPolicy.exitMarginMillis(grace)))
-                .containsExactly(stay, leave, margin);
+                .containsExactly(readinessHold, callerDrain, margin);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/WindowedRetryBudgetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/gateway/WindowedRetryBudgetTest.java
@@ -11,51 +11,50 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class RetryAllowanceTest {
+class WindowedRetryBudgetTest {
     private static final long WINDOW = 10_000;
     private static final double RATIO = 0.2;
     private static final double EXTRA = 3;
     private static final int FEW = 3;
 
-    /** A failing service gets each request five times from every relay, and never recovers. */
+    /** Without a limit, a failing service gets each request five times from every relay and never recovers. */
     @Property
-    void repeatsStayWithinTheAllowanceInEachWindow(
+    void retriesStayWithinBudgetInEachWindow(
             @ForAll @Size(max = 200) List<@IntRange(min = -1, max = 900) Integer> steps) {
-        WindowedRetryBudget allowance =
-                new WindowedRetryBudget(RATIO, EXTRA * WindowedRetryBudget.LEAST_GATEWAYS, WINDOW);
+        WindowedRetryBudget budget = new WindowedRetryBudget(RATIO, EXTRA * WindowedRetryBudget.MIN_RELAYS, WINDOW);
         List<Long> requests = new ArrayList<>();
-        List<Long> repeats = new ArrayList<>();
+        List<Long> retries = new ArrayList<>();
         long now = 0;
         for (int step : steps) {
             if (step < 0) {
                 requests.add(now);
-                allowance.onRequest(now);
+                budget.onRequest(now);
             } else {
                 now += step;
-                if (allowance.tryAcquire(FEW, now)) {
-                    repeats.add(now);
+                if (budget.tryAcquire(FEW, now)) {
+                    retries.add(now);
                 }
             }
         }
-        for (long end : repeats) {
-            long made = within(repeats, end);
+        for (long end : retries) {
+            long made = within(retries, end);
             long asked = within(requests, end);
             assertThat((double) made).isLessThanOrEqualTo(RATIO * asked + EXTRA);
         }
     }
 
     /**
-     * A service fails while hardly anybody asks for it, at many relays at once. Each took a sixteenth of the repeats on
-     * top, so that thirty took nearly twice as many together as there are.
+     * A service with few requests fails at many relays at once. When each took a sixteenth of the fixed number of
+     * retries, thirty relays made nearly twice as many as allowed.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 16, 27, 31, 300})
-    void allRelaysTogetherTakeNoMoreOnTopThanThereIs(int relays) {
+    void allRelaysTogetherStayWithinFixedNumber(int relays) {
         int extra = 94;
         int taken = 0;
         for (int relay = 0; relay < relays; relay++) {
-            WindowedRetryBudget allowance = new WindowedRetryBudget(RATIO, extra, WINDOW);
-            while (allowance.tryAcquire(relays, 0)) {
+            WindowedRetryBudget budget = new WindowedRetryBudget(RATIO, extra, WINDOW);
+            while (budget.tryAcquire(relays, 0)) {
                 taken++;
             }
         }
