--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Attempts.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Attempts.java
@@ -154,7 +154,7 @@
     void notRun(InFlight inFlight, Frame.NotRun frame, long nowMicros) {
         ErrorKind kind = frame.refusal().kind();
         leave(inFlight);
-        inFlight.route.target().refusedWithWait(frame.waitMicros(), nowMicros);
+        inFlight.route.target().onRejected(frame.waitMicros(), nowMicros);
         if (CLOSED.contains(kind)) {
             inFlight.route.target().markUnavailable();
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Membership.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Membership.java
@@ -65,7 +65,7 @@
     int entries(long nowMicros) {
         int most = 1;
         for (CompanionLink link : links.values()) {
-            if (link.heartbeat != null && nowMicros - link.heartbeatMicros < RoutableTarget.FRESH_MICROS) {
+            if (link.heartbeat != null && nowMicros - link.heartbeatMicros < RoutableTarget.MAX_REPORT_AGE_MICROS) {
                 most = Math.max(most, link.heartbeat.entries());
             }
         }
@@ -163,7 +163,7 @@
         for (ServedService service : services.all()) {
             for (RoutableTarget target : service.pool().targets()) {
                 Boolean known = leaving.get(target.settings().address());
-                target.listed(Boolean.TRUE.equals(known));
+                target.setListedLeaving(Boolean.TRUE.equals(known));
                 if (Boolean.FALSE.equals(known)) {
                     tryAgain(target.companion(), nowMicros);
                 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/OperatorQueries.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/OperatorQueries.java
@@ -67,7 +67,7 @@
                 link.address.toString(),
                 link.hello == null ? "" : link.hello.instance().value(),
                 link.hello == null ? "" : link.hello.failureDomain(),
-                link.isOpen() && heard && age < RoutableTarget.FRESH_MICROS,
+                link.isOpen() && heard && age < RoutableTarget.MAX_REPORT_AGE_MICROS,
                 heard ? age / MICROS_PER_MILLI : -1,
                 link.targets(),
                 link.revisions());
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/Affinity.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/Affinity.java
@@ -1,11 +1,11 @@
 package org.rattanrudder.core.routing;
 
-/** What ties a request to particular targets. */
+/** The reason why a request should be routed to particular targets. */
 public enum Affinity {
-    /** Nothing: any eligible target serves it as well. */
+    /** No affinity: any eligible target will do. */
     NONE,
-    /** Its context: a target that served it before needn't compute it again. */
+    /** Its context: a target that served this context before has it in its cache and needn't compute it again. */
     CONTEXT,
-    /** Its idempotency key: a repeat should meet the companion that knows the first call. */
+    /** Its idempotency key: a repeated call should reach the companion that has the record of the first one. */
     KEY
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/Hashing.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/Hashing.java
@@ -2,7 +2,7 @@
 
 import org.rattanrudder.core.model.Digest;
 
-/** Cheap, well mixed 64-bit hashes that are the same in every process. */
+/** Fast, well-distributed 64-bit hashes that are the same in every process. */
 public final class Hashing {
     private static final long FIRST_MULTIPLIER = 0xbf58476d1ce4e5b9L;
     private static final long SECOND_MULTIPLIER = 0x94d049bb133111ebL;
@@ -19,7 +19,7 @@
         return mix(left ^ mix(right + FIRST_MULTIPLIER));
     }
 
-    /** Returns the value with every bit depending on all of its bits (the finalizer of SplitMix64). */
+    /** Mixes a value with the finalizer of SplitMix64, so that each result bit depends on all bits of the value. */
     public static long mix(long value) {
         long mixed = (value ^ (value >>> 30)) * FIRST_MULTIPLIER;
         mixed = (mixed ^ (mixed >>> 27)) * SECOND_MULTIPLIER;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/HotContext.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/HotContext.java
@@ -3,85 +3,85 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A context that returns often at present: how often, and which targets hold it. */
+/** The request rate and the holders of a frequently used context. */
 final class HotContext {
     private static final double RATE_WINDOW_MICROS = 5_000_000;
     private static final double MICROS_PER_SECOND = 1_000_000;
 
     final long key;
-    /** Which document's targets it is about; the pool itself would be kept in memory after the document changed. */
+    /** Generation of the target pool; a reference to the pool would keep it in memory after the document changed. */
     private final long generation;
 
     private final List<Holder> holders = new ArrayList<>();
     private int replicas = 1;
-    private double perSecond;
-    private long countedMicros;
-    private long changedMicros;
+    private double requestsPerSecond;
+    private long rateUpdatedMicros;
+    private long resizedMicros;
 
-    /** A target in the context's order of preference, and from when on it has the context. */
+    /** A target in the context's rendezvous order, and the time from which it has the context. */
     static final class Holder {
-        static final long UNKNOWN = Long.MAX_VALUE;
+        static final long NOT_SENT = Long.MAX_VALUE;
 
         final RoutableTarget target;
-        long warmMicros = UNKNOWN;
+        long warmAtMicros = NOT_SENT;
 
         Holder(RoutableTarget target) {
             this.target = target;
         }
 
-        boolean isKnown() {
-            return warmMicros != UNKNOWN;
+        boolean wasSentContext() {
+            return warmAtMicros != NOT_SENT;
         }
     }
 
     HotContext(long key, TargetPool pool, long nowMicros) {
         this.key = key;
         this.generation = pool.generation();
-        this.countedMicros = nowMicros;
-        this.changedMicros = nowMicros;
+        this.rateUpdatedMicros = nowMicros;
+        this.resizedMicros = nowMicros;
     }
 
-    /** Returns this context among the targets of a changed document, with what is known of those that stay. */
-    HotContext movedTo(TargetPool other, long nowMicros) {
+    /** Returns a copy of this context for the targets of a changed document; retained targets keep their state. */
+    HotContext movedToPool(TargetPool other, long nowMicros) {
         HotContext moved = new HotContext(key, other, nowMicros);
         moved.replicas = Math.min(replicas, other.targets().size());
-        moved.perSecond = perSecond(nowMicros);
+        moved.requestsPerSecond = requestsPerSecond(nowMicros);
         for (Holder holder : holders) {
-            if (holder.isKnown()) {
-                moved.learn(holder, other);
+            if (holder.wasSentContext()) {
+                moved.restoreHolder(holder, other);
             }
         }
         return moved;
     }
 
-    boolean isOf(TargetPool other) {
+    boolean belongsTo(TargetPool other) {
         return generation == other.generation();
     }
 
-    /** Returns requests a second at this entry, over the last few seconds. */
-    double perSecond(long nowMicros) {
-        return perSecond * Math.exp(-(nowMicros - countedMicros) / RATE_WINDOW_MICROS);
+    /** Returns the requests a second at this entry, as a decaying average over the last few seconds. */
+    double requestsPerSecond(long nowMicros) {
+        return requestsPerSecond * Math.exp(-(nowMicros - rateUpdatedMicros) / RATE_WINDOW_MICROS);
     }
 
-    void count(long nowMicros) {
-        perSecond = perSecond(nowMicros) + MICROS_PER_SECOND / RATE_WINDOW_MICROS;
-        countedMicros = nowMicros;
+    void recordRequest(long nowMicros) {
+        requestsPerSecond = requestsPerSecond(nowMicros) + MICROS_PER_SECOND / RATE_WINDOW_MICROS;
+        rateUpdatedMicros = nowMicros;
     }
 
     int replicas() {
         return replicas;
     }
 
-    long changedMicros() {
-        return changedMicros;
+    long resizedMicros() {
+        return resizedMicros;
     }
 
     void resize(int count, TargetPool pool, long nowMicros) {
         replicas = Math.max(1, Math.min(count, pool.targets().size()));
-        changedMicros = nowMicros;
+        resizedMicros = nowMicros;
     }
 
-    /** Returns the target at this rank of preference; null beyond the last. */
+    /** Returns the holder at this rank of the rendezvous order; null beyond the last. */
     Holder holder(int rank, TargetPool pool) {
         if (holders.size() <= rank) {
             extend(rank, pool);
@@ -89,11 +89,11 @@
         return rank < holders.size() ? holders.get(rank) : null;
     }
 
-    private void learn(Holder former, TargetPool pool) {
+    private void restoreHolder(Holder former, TargetPool pool) {
         for (int rank = 0; rank < replicas; rank++) {
             Holder holder = holder(rank, pool);
             if (holder != null && holder.target.name().equals(former.target.name())) {
-                holder.warmMicros = former.warmMicros;
+                holder.warmAtMicros = former.warmAtMicros;
             }
         }
     }
@@ -108,12 +108,12 @@
         }
     }
 
-    /** Notes that a request took the context to a target, which has it after the given time. */
-    void sentTo(RoutableTarget target, long contextMicros, long nowMicros) {
+    /** Records that a request with the context was sent to a target, which has the context after the given time. */
+    void onSent(RoutableTarget target, long contextMicros, long nowMicros) {
         for (int rank = 0; rank < holders.size(); rank++) {
             Holder holder = holders.get(rank);
             if (holder.target == target) {
-                holder.warmMicros = Math.min(holder.warmMicros, nowMicros + contextMicros);
+                holder.warmAtMicros = Math.min(holder.warmAtMicros, nowMicros + contextMicros);
                 return;
             }
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RendezvousOrder.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RendezvousOrder.java
@@ -3,22 +3,23 @@
 import java.util.List;
 
 /**
- * The order in which targets are preferred for a key, the same in every entry: by highest random weight.
+ * Orders targets for a key by rendezvous hashing (highest random weight), so that every entry gets the same order.
  *
- * <p>The targets stand in groups of about the square root of their number, by a hash of their names. The key first
- * picks a group, weighted by its size, then ranks the targets within it; so a decision over 10,000 targets looks at
- * some 200 hashes. A target that comes or goes moves only its own keys, but for the few that its group's weight moves,
- * until the number of targets doubles and the groups are cut anew.
+ * <p>Targets are divided into groups by a hash of their names; the number of groups is about the square root of the
+ * number of targets. A key first selects a group, weighted by its size, and then ranks the targets in it, so that a
+ * decision among 10,000 targets computes only about 200 hashes. Adding or removing a target moves its own keys and the
+ * few that follow the changed weight of its group, except where the number of groups, a power of two, changes and all
+ * groups are formed anew.
  */
 final class RendezvousOrder {
-    private static final int SMALL = 256;
-    private static final double LONG_RANGE = 0x1.0p-53;
+    private static final int MAX_UNGROUPED_TARGETS = 256;
+    private static final double UNIT_INTERVAL_SCALE = 0x1.0p-53;
     private static final int FRACTION_SHIFT = 11;
 
     private final RoutableTarget[][] groups;
 
     RendezvousOrder(List<RoutableTarget> targets) {
-        int count = targets.size() <= SMALL ? 1 : groupCount(targets.size());
+        int count = targets.size() <= MAX_UNGROUPED_TARGETS ? 1 : groupCount(targets.size());
         groups = new RoutableTarget[count][];
         for (int group = 0; group < count; group++) {
             int wanted = group;
@@ -36,18 +37,18 @@
         return (int) Long.remainderUnsigned(target.nameHash(), count);
     }
 
-    /** Returns a walk over all targets, the most preferred first. */
+    /** Returns a walk over all targets in the order of the key, the most preferred first. */
     Walk walk(long key) {
         return new Walk(key);
     }
 
-    /** One walk over the targets in the order that a key gives them. */
+    /** An iteration over the targets in the order of one key. */
     final class Walk {
         private final long key;
         private double lastGroupScore = Double.POSITIVE_INFINITY;
         private RoutableTarget[] group;
         private long lastScore;
-        private int left;
+        private int remaining;
 
         private Walk(long key) {
             this.key = key;
@@ -55,7 +56,7 @@
 
         /** Returns the next target; null after the last. */
         RoutableTarget next() {
-            while (left == 0) {
+            while (remaining == 0) {
                 if (!nextGroup()) {
                     return null;
                 }
@@ -64,13 +65,13 @@
             long bestScore = 0;
             for (RoutableTarget target : group) {
                 long score = Hashing.combine(key, target.nameHash());
-                boolean notYet = left == group.length || Long.compareUnsigned(score, lastScore) < 0;
-                if (notYet && (best == null || Long.compareUnsigned(score, bestScore) > 0)) {
+                boolean notVisited = remaining == group.length || Long.compareUnsigned(score, lastScore) < 0;
+                if (notVisited && (best == null || Long.compareUnsigned(score, bestScore) > 0)) {
                     best = target;
                     bestScore = score;
                 }
             }
-            left = best == null ? 0 : left - 1;
+            remaining = best == null ? 0 : remaining - 1;
             lastScore = bestScore;
             return best == null ? next() : best;
         }
@@ -87,16 +88,16 @@
             }
             group = best;
             lastGroupScore = bestScore;
-            left = best == null ? 0 : best.length;
+            remaining = best == null ? 0 : best.length;
             return best != null;
         }
 
-        /** Weighted rendezvous: a group is picked with a chance in proportion to its size. */
+        /** Weighted rendezvous hashing: a group's probability of being first is proportional to its size. */
         private double groupScore(int index) {
             if (groups.length == 1) {
                 return 0;
             }
-            double uniform = ((Hashing.combine(key, ~(long) index) >>> FRACTION_SHIFT) + 0.5) * LONG_RANGE;
+            double uniform = ((Hashing.combine(key, ~(long) index) >>> FRACTION_SHIFT) + 0.5) * UNIT_INTERVAL_SCALE;
             return -groups[index].length / Math.log(uniform);
         }
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutableTarget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutableTarget.java
@@ -6,22 +6,22 @@
 import org.rattanrudder.core.model.TargetName;
 
 /**
- * A target as an entry knows it: its settings, its companion's last report, and what the entry itself has sent there
- * since.
+ * An entry's view of a target: its settings, its companion's last load report and the entry's own requests.
  *
- * <p>Reports come each second, so between two of them every entry would send to the same target that looked idle, and
- * load would swing from one to the next. What an entry itself has under way it knows at any time; what the others have
- * it takes from the reports, smoothed over a few of them.
+ * <p>Reports arrive once a second. By reports alone, every entry would send its requests to the same apparently idle
+ * target until the next report, and load would oscillate between targets. The estimate therefore adds the entry's own
+ * requests in flight, which it knows exactly, to those of other entries, which it derives from the reports and smooths
+ * over several of them.
  */
 public final class RoutableTarget {
-    /** How old a companion's report may be for new work to be sent, in microseconds. */
-    public static final long FRESH_MICROS = 2_000_000;
+    /** Age in microseconds from which a companion's report is stale, so that the target gets no new work. */
+    public static final long MAX_REPORT_AGE_MICROS = 2_000_000;
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     /**
-     * Over how long the reports of what others have under way are smoothed, in microseconds; over less, load swings
-     * with each report.
+     * Time constant in microseconds for smoothing the reported requests of other entries. With a shorter one, load
+     * oscillates with each report.
      */
     private static final double SMOOTHING_MICROS = 6_000_000;
 
@@ -36,13 +36,13 @@
     private int unacceptedRequests;
     private long unacceptedContextMicros;
 
-    /** Creates a target of which nothing has been heard yet. */
+    /** Creates a target without a report. */
     public RoutableTarget(TargetSettings settings) {
         this.settings = settings;
         this.nameHash = Hashing.of(settings.name().value());
     }
 
-    /** Returns its name. */
+    /** Returns the target's name. */
     public TargetName name() {
         return settings.name();
     }
@@ -52,12 +52,12 @@
         return settings.companion();
     }
 
-    /** Returns the failure domain it stands in. */
+    /** Returns the target's failure domain. */
     public String failureDomain() {
         return settings.failureDomain();
     }
 
-    /** Returns how its document describes it. */
+    /** Returns the target's settings in its service document. */
     public TargetSettings settings() {
         return settings;
     }
@@ -66,7 +66,7 @@
         return nameHash;
     }
 
-    /** Returns a target with new settings that keeps what is known of this one. */
+    /** Returns a target with new settings; if its companion is the same, it keeps this target's last report. */
     RoutableTarget withSettings(TargetSettings changed) {
         if (changed.equals(settings)) {
             return this;
@@ -81,7 +81,7 @@
         return successor;
     }
 
-    /** Takes its companion's report. Attempts that the companion had accepted by then are counted in it. */
+    /** Applies a report of its companion. Attempts that the companion has accepted are included in the report. */
     public void applyReport(Frame.TargetState state, long nowMicros) {
         int counted = Math.max(0, ownRequests - unacceptedRequests);
         int others = Math.max(0, state.running() + state.queued() - counted);
@@ -92,7 +92,7 @@
         ownContextMicros = unacceptedContextMicros;
     }
 
-    /** Notes that an attempt was sent there which may compute or fetch context for the given time. */
+    /** Records an attempt sent to the target that may compute or fetch context for the given time. */
     public void onDispatched(long contextMicros) {
         ownRequests++;
         ownContextMicros += contextMicros;
@@ -100,24 +100,24 @@
         unacceptedContextMicros += contextMicros;
     }
 
-    /** Notes that the companion said that it has the attempt: its next report counts it. */
+    /** Records that the companion accepted an attempt; its next report includes it. */
     public void accepted(long contextMicros) {
         unacceptedRequests = Math.max(0, unacceptedRequests - 1);
         unacceptedContextMicros = Math.max(0, unacceptedContextMicros - contextMicros);
     }
 
-    /** Notes that an attempt there has ended. */
+    /** Records that an attempt at the target has ended. */
     public void ended() {
         ownRequests = Math.max(0, ownRequests - 1);
     }
 
-    /** Notes that its companion takes no more work until it reports otherwise. */
+    /** Marks the target as unavailable until its companion's next report. */
     public void markUnavailable() {
         reportMicros = NEVER;
     }
 
-    /** Takes the wait that a companion named when it refused an attempt. */
-    public void refusedWithWait(long waitMicros, long nowMicros) {
+    /** Applies the wait that the companion sent when it rejected an attempt. */
+    public void onRejected(long waitMicros, long nowMicros) {
         if (applyReport == null) {
             return;
         }
@@ -132,33 +132,33 @@
                 applyReport.fetchBytesPerSecond());
     }
 
-    /** Notes what the platform's lagging list says of it. */
-    public void listed(boolean leaving) {
+    /** Sets whether the platform's instance list, which may be out of date, shows the target as leaving. */
+    public void setListedLeaving(boolean leaving) {
         listedLeaving = leaving;
     }
 
-    /** Returns whether the platform's list says that it leaves: a hint, since its companion has the last word. */
+    /** Returns whether the platform's list shows the target as leaving: only a hint, since its companion decides. */
     public boolean isListedLeaving() {
         return listedLeaving;
     }
 
     /**
-     * Returns whether new work may be sent there: its companion said so less than {@link #FRESH_MICROS} ago, and no
-     * operator drains it.
+     * Returns whether the target may get new work: its companion reported less than {@link #MAX_REPORT_AGE_MICROS} ago
+     * that it accepts work, and the document doesn't drain the target.
      */
     public boolean isEligible(long nowMicros) {
         return applyReport != null
                 && applyReport.accepting()
                 && !settings.draining()
-                && nowMicros - reportMicros < FRESH_MICROS;
+                && nowMicros - reportMicros < MAX_REPORT_AGE_MICROS;
     }
 
-    /** Returns the weight version that its companion last reported; empty if there is no report, or no engine. */
+    /** Returns the last reported weight version; empty if there is no report or no engine. */
     public String weightVersion() {
         return applyReport == null ? "" : applyReport.weightVersion();
     }
 
-    /** Returns why new work may not be sent there, for operators. */
+    /** Returns whether the target may get new work, and if not, why, as a text for operators. */
     public String eligibility(long nowMicros) {
         if (settings.draining()) {
             return "drained by the document";
@@ -166,16 +166,16 @@
         if (reportMicros == NEVER) {
             return "no report from its companion";
         }
-        if (nowMicros - reportMicros >= FRESH_MICROS) {
+        if (nowMicros - reportMicros >= MAX_REPORT_AGE_MICROS) {
             return "its companion's report is too old";
         }
         return applyReport.accepting() ? "eligible" : "its companion accepts no work";
     }
 
     /**
-     * Returns the wait that a new attempt would see, in microseconds.
+     * Returns the estimated wait of a new attempt, in microseconds.
      *
-     * @param serviceMicros how long an attempt usually occupies the target
+     * @param serviceMicros mean time that an attempt occupies the target
      */
     public long waitMicros(long serviceMicros, long nowMicros) {
         if (applyReport == null) {
@@ -190,22 +190,22 @@
         return Math.max(remaining, (long) ((ahead + 1) * serviceMicros / settings.concurrency()));
     }
 
-    /** Returns the part of its slots that are taken, from 0; above 1 when attempts wait. */
-    public double utilisation() {
+    /** Returns the estimated share of slots in use, from 0; above 1 when attempts are queued. */
+    public double utilization() {
         return (ownRequests + othersRequests) / settings.concurrency();
     }
 
-    /** Returns the part of its slots that were taken by its companion's last report; above 1 when attempts wait. */
-    public double reportedUtilisation() {
+    /** Returns the share of slots in use by the last report, from 0; above 1 when attempts are queued. */
+    public double reportedUtilization() {
         return (double) reportedRequests() / settings.concurrency();
     }
 
-    /** Returns the requests that its companion reported last. */
+    /** Returns the number of running and queued requests by the last report. */
     public int reportedRequests() {
         return applyReport == null ? 0 : applyReport.running() + applyReport.queued();
     }
 
-    /** Returns the time in microseconds to get this much context that it lacks, the cheaper way. */
+    /** Returns the time in microseconds to recompute or fetch this much missing context, whichever is faster. */
     public long missingContextMicros(int tokens, ContextCosts costs) {
         long prefill = applyReport == null ? 0 : applyReport.prefillTokensPerSecond();
         long fetch = applyReport == null ? 0 : applyReport.fetchBytesPerSecond();
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/Route.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/Route.java
@@ -1,12 +1,12 @@
 package org.rattanrudder.core.routing;
 
 /**
- * A target that was chosen, and why.
+ * The result of a routing decision.
  *
- * @param target the target
- * @param waitMicros the wait that is expected there, in microseconds
- * @param contextMicros the time that missing context is expected to take there, in microseconds
- * @param reason one line for operators
+ * @param target the chosen target
+ * @param waitMicros the estimated wait at the target, in microseconds
+ * @param contextMicros the estimated time to compute or fetch missing context, in microseconds
+ * @param reason why the target was chosen, as one line for operators
  */
 public record Route(RoutableTarget target, long waitMicros, long contextMicros, String reason) {
     /** Returns the estimated time to the first token in microseconds. */
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutingPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutingPolicy.java
@@ -14,9 +14,9 @@
  */
 @FunctionalInterface
 public interface RoutingPolicy {
-    /** Returns the target to run the request on; empty if none is eligible. */
+    /** Returns a route to the chosen target; empty if no target is eligible. */
     Optional<Route> choose(RoutingQuery query, TargetPool pool, long nowMicros);
 
-    /** Notes that a request was sent on a route that this policy chose. */
+    /** Called when a request was sent on a route that this policy chose. */
     default void onDispatched(RoutingQuery query, Route route, TargetPool pool, long nowMicros) {}
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/TargetPool.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/TargetPool.java
@@ -8,10 +8,10 @@
 import org.rattanrudder.core.document.TargetSettings;
 import org.rattanrudder.core.model.TargetName;
 
-/** The targets of one service, in the order of its document, with what an entry knows of each. */
+/** The targets of one service, in the order of its document, with the entry's view of each. */
 public final class TargetPool {
-    private static final long FIRST_SERVICE_MICROS = 100_000;
-    private static final int SERVICE_SMOOTHING = 16;
+    private static final long INITIAL_SERVICE_MICROS = 100_000;
+    private static final int SERVICE_SMOOTHING_SAMPLES = 16;
 
     private final List<RoutableTarget> targets;
     private final Map<TargetName, RoutableTarget> byName;
@@ -19,9 +19,9 @@
     private final long generation;
     private long serviceMicros;
 
-    /** Creates a pool of targets of which nothing has been heard yet. */
+    /** Creates a pool of targets without reports. */
     public TargetPool(List<TargetSettings> settings) {
-        this(settings.stream().map(RoutableTarget::new).toList(), FIRST_SERVICE_MICROS, 0);
+        this(settings.stream().map(RoutableTarget::new).toList(), INITIAL_SERVICE_MICROS, 0);
     }
 
     private TargetPool(List<RoutableTarget> targets, long serviceMicros, long generation) {
@@ -33,7 +33,7 @@
         this.serviceMicros = serviceMicros;
     }
 
-    /** Returns a pool of the targets in a changed document that keeps what is known of those that stay. */
+    /** Returns a pool for the targets of a changed document; retained targets keep their state. */
     public TargetPool withSettings(List<TargetSettings> settings) {
         List<RoutableTarget> next = new ArrayList<>(settings.size());
         for (TargetSettings each : settings) {
@@ -53,23 +53,23 @@
         return Optional.ofNullable(byName.get(name));
     }
 
-    /** Returns how many documents of the service were in force before. */
+    /** Returns the generation of the pool, which is incremented with each changed document. */
     long generation() {
         return generation;
     }
 
-    /** Returns the order in which keys prefer the targets. */
+    /** Returns the rendezvous order of the targets. */
     RendezvousOrder order() {
         return order;
     }
 
-    /** Returns how long an attempt usually occupies a target, in microseconds. */
+    /** Returns the mean time that an attempt occupies a target, in microseconds. */
     public long serviceMicros() {
         return serviceMicros;
     }
 
-    /** Takes into the mean how long an attempt occupied its target, in microseconds. */
+    /** Adds the time that an attempt occupied its target, in microseconds, to the moving average. */
     public void recordServiceTime(long micros) {
-        serviceMicros += (micros - serviceMicros) / SERVICE_SMOOTHING;
+        serviceMicros += (micros - serviceMicros) / SERVICE_SMOOTHING_SAMPLES;
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/BaselinePolicies.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/BaselinePolicies.java
@@ -6,36 +6,36 @@
 import java.util.function.BiFunction;
 import java.util.random.RandomGenerator;
 
-/** The policies that the real one is compared with, each as plain as it can be. */
+/** Simple policies that {@link AffinityPolicy} is compared with. */
 public final class BaselinePolicies {
     private BaselinePolicies() {}
 
-    /** Any eligible target. */
+    /** Picks an eligible target at random. */
     public static RoutingPolicy random(RandomGenerator random) {
         return pick((query, eligible) -> eligible.get(random.nextInt(eligible.size())));
     }
 
-    /** Each eligible target in turn. */
+    /** Picks the eligible targets in turn. */
     public static RoutingPolicy roundRobin() {
         int[] turn = {0};
         return pick((query, eligible) -> eligible.get(turn[0]++ % eligible.size()));
     }
 
-    /** The eligible target with the fewest requests, by its reports and what the entry itself has there. */
+    /** Picks the eligible target with the fewest requests by its reports and the entry's own requests in flight. */
     public static RoutingPolicy leastLoad() {
         return pick((query, eligible) -> eligible.stream()
-                .min(Comparator.comparingDouble(RoutableTarget::utilisation))
+                .min(Comparator.comparingDouble(RoutableTarget::utilization))
                 .orElseThrow());
     }
 
-    /** The eligible target with the fewest requests by its last report alone. */
+    /** Picks the eligible target with the fewest requests by its last report alone. */
     public static RoutingPolicy leastReported() {
         return pick((query, eligible) -> eligible.stream()
                 .min(Comparator.comparingInt(RoutableTarget::reportedRequests))
                 .orElseThrow());
     }
 
-    /** The eligible target that ranks highest for the context, whatever its load. */
+    /** Picks the eligible target that ranks highest for the context, whatever its load. */
     public static RoutingPolicy prefixAffinity() {
         return pick((query, eligible) -> eligible.stream()
                 .max((left, right) -> Long.compareUnsigned(
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/RendezvousOrderTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/RendezvousOrderTest.java
@@ -16,22 +16,22 @@
     private static final int KEYS = 20_000;
 
     @Property(seed = "41", tries = 60)
-    void aWalkMeetsEachTargetOnce(@ForAll @IntRange(min = 1, max = 700) int size, @ForAll long key) {
-        TargetPool pool = Pools.idle(size);
+    void aWalkReturnsEachTargetOnce(@ForAll @IntRange(min = 1, max = 700) int size, @ForAll long key) {
+        TargetPool pool = TestPools.idle(size);
         RendezvousOrder.Walk walk = pool.order().walk(key);
-        List<RoutableTarget> met = new ArrayList<>();
+        List<RoutableTarget> visited = new ArrayList<>();
         for (RoutableTarget next = walk.next(); next != null; next = walk.next()) {
-            met.add(next);
+            visited.add(next);
         }
-        assertThat(met).containsExactlyInAnyOrderElementsOf(pool.targets());
+        assertThat(visited).containsExactlyInAnyOrderElementsOf(pool.targets());
     }
 
-    /** A target that goes must not move the contexts of the others: each would be computed anew. */
+    /** Removing a target must not move the contexts of other targets, since each would have to be recomputed. */
     @ParameterizedTest
     @ValueSource(ints = {10, 200, 1_000})
-    void aTargetThatGoesMovesHardlyMoreThanItsOwnKeys(int size) {
-        TargetPool before = Pools.idle(size);
-        TargetPool after = before.withSettings(Pools.settings(size - 1));
+    void removingATargetMovesFewKeysBesidesItsOwn(int size) {
+        TargetPool before = TestPools.idle(size);
+        TargetPool after = before.withSettings(TestPools.settings(size - 1));
         int moved = 0;
         int own = 0;
         for (int key = 0; key < KEYS; key++) {
@@ -44,8 +44,8 @@
 
     @ParameterizedTest
     @ValueSource(ints = {10, 200, 1_000})
-    void keysSpreadEvenly(int size) {
-        TargetPool pool = Pools.idle(size);
+    void keysAreDistributedEvenly(int size) {
+        TargetPool pool = TestPools.idle(size);
         Map<String, Integer> counts = new HashMap<>();
         for (int key = 0; key < KEYS; key++) {
             counts.merge(home(pool, key), 1, Integer::sum);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/Pools.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/TestPools.java
@@ -7,13 +7,13 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.TargetName;
 
-/** Pools of targets for tests; even numbers stand in domain-0, odd ones in domain-1. */
-final class Pools {
+/** Target pools for tests; targets with even numbers are in domain-0, the others in domain-1. */
+final class TestPools {
     static final long NOW = 10_000_000;
     static final int SLOTS = 10;
     static final ContextCosts COSTS = new ContextCosts(10_000, 0, 0);
 
-    private Pools() {}
+    private TestPools() {}
 
     static TargetPool idle(int count) {
         TargetPool pool = new TargetPool(settings(count));
