--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Admission.java
@@ -13,7 +13,7 @@
 import org.rattanrudder.core.routing.Affinity;
 import org.rattanrudder.core.routing.Hashing;
 
-/** Decides whether a request may be served at all, and on which terms. */
+/** Decides whether a request is admitted, and on which terms. */
 final class Admission {
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -23,36 +23,36 @@
         this.services = services;
     }
 
-    /** What came of looking at a request. */
-    sealed interface Verdict {}
+    /** The result of an admission check. */
+    sealed interface Decision {}
 
     /**
-     * It is served on these terms.
+     * The request is admitted.
      *
-     * @param terms the terms
+     * @param terms the terms on which it is served
      */
-    record Admitted(Terms terms) implements Verdict {}
+    record Admitted(Terms terms) implements Decision {}
 
     /**
-     * It is refused.
+     * The request is refused.
      *
-     * @param refusal why
+     * @param refusal the error for the caller
      * @param customer the customer's name; empty if not known
      * @param requestClass its class; empty if not known
      */
-    record Refused(Refusal refusal, String customer, String requestClass) implements Verdict {}
+    record Refused(Refusal refusal, String customer, String requestClass) implements Decision {}
 
     /**
-     * What holds for a request from admission to its end, also if the document changes meanwhile.
+     * The terms of an admitted request. They stay the same until it ends, even if the document changes meanwhile.
      *
      * @param service the service
-     * @param document its document at admission
-     * @param customer on whose behalf
-     * @param requestClass its class
-     * @param idempotent whether a repeat does no harm
-     * @param affinity what ties it to targets
-     * @param affinityKey a hash of what ties it to targets
-     * @param contextTokens tokens of its prompt that may be cached
+     * @param document the service's document at admission
+     * @param customer the customer that sent the request
+     * @param requestClass the request's class
+     * @param idempotent whether the request may safely be run more than once
+     * @param affinity the kind of affinity to targets
+     * @param affinityKey a hash of the context's root or of the idempotency key; 0 without affinity
+     * @param contextTokens number of prompt tokens that may be cached
      */
     record Terms(
             ServedService service,
@@ -65,12 +65,12 @@
             int contextTokens) {}
 
     /**
-     * Looks at a request.
+     * Decides on a request.
      *
-     * @param entries how many entries share the customers' rates
-     * @param usage what all entries let pass
+     * @param entries number of entries that share the customers' rate limits
+     * @param usage requests that all entries admitted for each customer
      */
-    Verdict judge(CallerRequest request, int entries, CustomerUsage usage, long nowMicros) {
+    Decision decide(CallerRequest request, int entries, CustomerUsage usage, long nowMicros) {
         Optional<ServedService> found = services.service(request.service());
         if (found.isEmpty()) {
             return refused(ErrorKind.UNKNOWN_SERVICE, "no document describes this service", "", "");
@@ -100,7 +100,7 @@
         if (isPrompt != (document.kind() == ServiceKind.PROMPT)) {
             return refused(ErrorKind.UNKNOWN_PATH, "the service takes no calls of this form", customerName, className);
         }
-        long waitMicros = overRateMicros(service, customer, entries, usage, nowMicros);
+        long waitMicros = rateLimitWaitMicros(service, customer, entries, usage, nowMicros);
         if (waitMicros > 0) {
             long after = waitMicros / MICROS_PER_MILLI + 1;
             Refusal refusal = new Refusal(ErrorKind.CUSTOMER_OVER_SHARE, after, "the customer is over its rate");
@@ -109,16 +109,16 @@
         return new Admitted(terms(service, customer, requestClass.get(), request));
     }
 
-    private static long overRateMicros(
+    private static long rateLimitWaitMicros(
             ServedService service, CustomerSettings customer, int entries, CustomerUsage usage, long nowMicros) {
         if (customer.requestsPerSecond() <= 0) {
             return 0;
         }
         long hash = Frame.customerHash(service.document().service(), customer.name());
-        return service.limits().admit(customer, entries, usage.perSecond(hash, nowMicros), nowMicros);
+        return service.limits().admit(customer, entries, usage.requestsPerSecond(hash, nowMicros), nowMicros);
     }
 
-    /** Returns the terms on which a prompt or call of this customer and class is served. */
+    /** Returns the terms for a prompt or call of this customer and class. */
     Terms terms(ServedService service, CustomerSettings customer, RequestClass requestClass, CallerRequest request) {
         ServiceDocument document = service.document();
         boolean isPrompt = document.kind() == ServiceKind.PROMPT;
@@ -141,7 +141,7 @@
         return new Terms(service, document, customer, requestClass, idempotent, affinity, key, contextTokens);
     }
 
-    /** The name of the context's first block: it differs between customers, services and weight versions. */
+    /** Returns a hash of the context's first block name, which differs by customer, service and weight version. */
     private static long contextKey(ServedService service, CustomerSettings customer, PromptShape prompt) {
         Digest root =
                 Digest.of(customer.name().value(), service.document().service().value(), service.weightVersion());
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/AnswerRelay.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/AnswerRelay.java
@@ -6,72 +6,72 @@
 import org.rattanrudder.core.model.Refusal;
 
 /**
- * Passes the frames of answers on to their callers, each chunk once and in order.
+ * Forwards answers from companions to callers, each chunk exactly once and in order.
  *
- * <p>Frames may come late, crossed, doubled or not at all: after a link broke, the companion sends again from where it
- * was asked to, while chunks of before may still arrive.
+ * <p>Frames may be delayed, reordered, duplicated or lost: after a link was lost, the companion resends from the chunk
+ * that the entry asks for, while earlier frames may still arrive.
  */
 final class AnswerRelay {
-    private static final int CREDIT_BATCH = 16;
+    private static final int CREDIT_BATCH_CHUNKS = 16;
 
-    private final Requests requests;
-    private final Attempts attempts;
-    private final Endings endings;
+    private final InFlightRequests requests;
+    private final RequestDispatcher dispatcher;
+    private final RequestCompleter completer;
     private final Outbox outbox;
 
-    AnswerRelay(Requests requests, Attempts attempts, Endings endings, Outbox outbox) {
+    AnswerRelay(InFlightRequests requests, RequestDispatcher dispatcher, RequestCompleter completer, Outbox outbox) {
         this.requests = requests;
-        this.attempts = attempts;
-        this.endings = endings;
+        this.dispatcher = dispatcher;
+        this.completer = completer;
         this.outbox = outbox;
     }
 
-    /** Takes a frame of an attempt; dropped unless it belongs to the present attempt of a request. */
-    void take(Address companion, Frame.AttemptFrame frame, long nowMicros) {
-        requests.byAttempt(frame.attempt(), companion).ifPresent(inFlight -> take(inFlight, frame, nowMicros));
+    /** Handles a frame of an attempt; drops it unless it belongs to the current attempt of a request. */
+    void onFrame(Address companion, Frame.AttemptFrame frame, long nowMicros) {
+        requests.byAttempt(frame.attempt(), companion).ifPresent(inFlight -> onFrame(inFlight, frame, nowMicros));
     }
 
-    private void take(InFlight inFlight, Frame.AttemptFrame frame, long nowMicros) {
+    private void onFrame(InFlightRequest inFlight, Frame.AttemptFrame frame, long nowMicros) {
         if (frame instanceof Frame.AnswerChunk chunk) {
-            takeChunk(inFlight, chunk, nowMicros);
+            onChunk(inFlight, chunk, nowMicros);
         } else if (frame instanceof Frame.Accepted) {
-            accept(inFlight);
+            markAccepted(inFlight);
         } else if (frame instanceof Frame.AnswerHead head) {
-            takeHead(inFlight, head, nowMicros);
+            onHead(inFlight, head, nowMicros);
         } else if (frame instanceof Frame.AnswerEnd end) {
-            takeEnd(inFlight, end, nowMicros);
+            onEnd(inFlight, end, nowMicros);
         } else if (frame instanceof Frame.NotRun notRun) {
-            attempts.notRun(inFlight, notRun, nowMicros);
+            dispatcher.onNotRun(inFlight, notRun, nowMicros);
         } else if (frame instanceof Frame.AnswerFailed failed) {
-            accept(inFlight);
-            attempts.failed(inFlight, failed.refusal(), nowMicros);
+            markAccepted(inFlight);
+            dispatcher.onFailed(inFlight, failed.refusal(), nowMicros);
         }
     }
 
-    private static void accept(InFlight inFlight) {
+    private static void markAccepted(InFlightRequest inFlight) {
         if (!inFlight.accepted) {
             inFlight.accepted = true;
             inFlight.route.target().accepted(inFlight.route.contextMicros());
         }
     }
 
-    private void takeHead(InFlight inFlight, Frame.AnswerHead head, long nowMicros) {
-        accept(inFlight);
-        if (inFlight.begun) {
+    private void onHead(InFlightRequest inFlight, Frame.AnswerHead head, long nowMicros) {
+        markAccepted(inFlight);
+        if (inFlight.answerStarted) {
             return;
         }
-        inFlight.begun = true;
+        inFlight.answerStarted = true;
         inFlight.status = head.status();
         inFlight.progressMicros = nowMicros;
         outbox.emit(new EntryEffect.BeginAnswer(inFlight.sequence, head.status(), head.headers()));
     }
 
-    private void takeChunk(InFlight inFlight, Frame.AnswerChunk chunk, long nowMicros) {
+    private void onChunk(InFlightRequest inFlight, Frame.AnswerChunk chunk, long nowMicros) {
         if (chunk.number() < inFlight.nextChunk) {
             return;
         }
-        if (chunk.number() > inFlight.nextChunk || !inFlight.begun) {
-            resumeOnce(inFlight, nowMicros);
+        if (chunk.number() > inFlight.nextChunk || !inFlight.answerStarted) {
+            requestMissingChunks(inFlight, nowMicros);
             return;
         }
         inFlight.nextChunk++;
@@ -82,14 +82,15 @@
         outbox.emit(new EntryEffect.SendChunk(inFlight.sequence, chunk.bytes()));
     }
 
-    private void takeEnd(InFlight inFlight, Frame.AnswerEnd end, long nowMicros) {
-        if (!inFlight.begun || end.chunks() > inFlight.nextChunk) {
-            // Chunks are missing: ending here would give the caller a part for the whole.
-            resumeOnce(inFlight, nowMicros);
+    private void onEnd(InFlightRequest inFlight, Frame.AnswerEnd end, long nowMicros) {
+        if (!inFlight.answerStarted || end.chunks() > inFlight.nextChunk) {
+            // Chunks are missing: ending the answer here would present a truncated answer to the caller as complete.
+            requestMissingChunks(inFlight, nowMicros);
             return;
         }
         if (end.chunks() < inFlight.nextChunk) {
-            attempts.failed(inFlight, new Refusal(ErrorKind.INTERNAL, 0, "the answer has too many chunks"), nowMicros);
+            dispatcher.onFailed(
+                    inFlight, new Refusal(ErrorKind.INTERNAL, 0, "the answer has too many chunks"), nowMicros);
             return;
         }
         if (inFlight.firstByteMicros < 0) {
@@ -97,28 +98,28 @@
         }
         inFlight.usage = end.usage();
         inFlight.route.target().ended();
-        endings.answered(inFlight, nowMicros);
+        completer.onAnswered(inFlight, nowMicros);
     }
 
-    /** Every chunk after a gap shows the same gap; one request for what is missing is enough. */
-    private void resumeOnce(InFlight inFlight, long nowMicros) {
-        if (nowMicros - inFlight.resumedMicros >= Attempts.RESUME_AGAIN_MICROS) {
-            attempts.resume(inFlight, nowMicros);
+    /** Requests the missing chunks once; every further chunk after the same gap would otherwise repeat the request. */
+    private void requestMissingChunks(InFlightRequest inFlight, long nowMicros) {
+        if (nowMicros - inFlight.resumeSentMicros >= RequestDispatcher.RESUME_RETRY_MICROS) {
+            dispatcher.resume(inFlight, nowMicros);
         } else {
-            attempts.resumeLater(inFlight);
+            dispatcher.scheduleResume(inFlight);
         }
     }
 
-    /** The caller's connection took chunks: the companion may send as many more. */
-    void callerTook(InFlight inFlight, int chunks, long nowMicros) {
-        long before = inFlight.takenChunks;
-        inFlight.takenChunks += chunks;
+    /** Handles chunks written to the caller's connection: grants the companion credit for as many more. */
+    void onChunksWritten(InFlightRequest inFlight, int chunks, long nowMicros) {
+        long before = inFlight.writtenChunks;
+        inFlight.writtenChunks += chunks;
         inFlight.progressMicros = nowMicros;
-        long credited = inFlight.takenChunks - Math.max(before, inFlight.creditedFrom);
-        inFlight.unsentCredit += (int) Math.max(0, credited);
-        if (inFlight.unsentCredit >= CREDIT_BATCH) {
-            outbox.send(inFlight.companion(), new Frame.Credit(inFlight.attempt, inFlight.unsentCredit));
-            inFlight.unsentCredit = 0;
+        long credited = inFlight.writtenChunks - Math.max(before, inFlight.creditStartChunk);
+        inFlight.pendingCredit += (int) Math.max(0, credited);
+        if (inFlight.pendingCredit >= CREDIT_BATCH_CHUNKS) {
+            outbox.send(inFlight.companion(), new Frame.Credit(inFlight.attempt, inFlight.pendingCredit));
+            inFlight.pendingCredit = 0;
         }
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/CallerRequest.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/CallerRequest.java
@@ -8,9 +8,9 @@
 /**
  * A caller's request, as read from its connection.
  *
- * @param service the service's name as the caller wrote it
+ * @param service the service's name as sent by the caller
  * @param credential the SHA-256 digest of its bearer credential
- * @param requestClass the class it asks for; the service's default if empty
+ * @param requestClass the requested class; the service's default if empty
  * @param idempotencyKey its {@code Idempotency-Key}
  * @param call the call
  * @param prompt the prompt's shape; {@link PromptShape#NONE} for plain calls
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/CompanionLink.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/CompanionLink.java
@@ -4,15 +4,15 @@
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.model.Address;
 
-/** The link to one companion and what was last heard on it. */
+/** The state of the link to one companion, with the last frames received on it. */
 final class CompanionLink {
-    /** What a link is about. */
+    /** The state of a link. */
     enum State {
-        /** None, until the next time to try. */
+        /** No connection; the next attempt to open one is scheduled. */
         CLOSED,
-        /** Being opened. */
+        /** The connection is being opened. */
         OPENING,
-        /** Up: the companion said hello. */
+        /** The connection is open and the companion's hello has arrived. */
         OPEN
     }
 
@@ -23,11 +23,11 @@
     Frame.Hello hello;
     Frame.Heartbeat heartbeat;
     boolean leaving;
-    /** When the link came into its state. */
-    long sinceMicros;
-    /** When anything was last heard on the link. */
-    long heardMicros = NEVER;
-    /** When a heartbeat was last heard, on this link or one before. */
+    /** Time at which the link entered its state. */
+    long stateSinceMicros;
+    /** Time at which the last frame was received on the link. */
+    long lastFrameMicros = NEVER;
+    /** Time at which the last heartbeat was received, on this or an earlier connection. */
     long heartbeatMicros = NEVER;
 
     long nextOpenMicros;
@@ -43,7 +43,7 @@
         return state == State.OPEN;
     }
 
-    /** Returns the companion's incarnation; 0 if it was never heard of. */
+    /** Returns the companion's incarnation; 0 if no hello was ever received. */
     long incarnation() {
         return hello == null ? 0 : hello.incarnation();
     }
@@ -56,8 +56,8 @@
         return heartbeat == null ? List.of() : heartbeat.revisions();
     }
 
-    void enter(State next, long nowMicros) {
+    void enterState(State next, long nowMicros) {
         state = next;
-        sinceMicros = nowMicros;
+        stateSinceMicros = nowMicros;
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Configuration.java
@@ -16,7 +16,9 @@
 import org.rattanrudder.core.log.LogWriter;
 import org.rattanrudder.core.model.Address;
 
-/** Puts the documents of the configuration stream into force, and keeps them alive there. */
+/**
+ * Applies the documents of the configuration stream, and appends them again before the log's retention drops them.
+ */
 final class Configuration {
     private final ServiceDocuments documents;
     private final PeerConfigurationExchange peers;
@@ -39,44 +41,44 @@
         return documents.ledger();
     }
 
-    /** Returns whether the log's order decides edits here now. */
-    boolean followsLog() {
+    /** Returns whether this entry currently reads the log, whose order decides on edits. */
+    boolean isFollowingLog() {
         return caughtUp && !peers.needsPeers();
     }
 
-    /** Returns whether there is enough to serve by: the log's end was reached, or peers told during an outage. */
+    /** Returns whether requests can be served: the log's end was reached, or companions sent documents in an outage. */
     boolean isKnown() {
         return caughtUp || !documents.revisions().isEmpty();
     }
 
-    /** Takes records of the log; returns what became of the edits in them. */
-    List<EditDecision> read(List<LogRecord> records, boolean atEnd) {
+    /** Applies records of the log and returns the decisions on the edits in them. */
+    List<EditDecision> onLogRecords(List<LogRecord> records, boolean atEnd) {
         caughtUp |= atEnd;
         peers.onLogRead();
-        return take(records);
+        return apply(records);
     }
 
-    void readFailed() {
+    void onLogReadFailed() {
         peers.onLogReadFailed();
     }
 
-    void linked(Address companion, long nowMicros) {
+    void onLinkOpened(Address companion, long nowMicros) {
         peers.requestOnLinkOpened(nowMicros).ifPresent(question -> outbox.send(companion, question));
     }
 
-    void heard(Address companion, Frame.Heartbeat heartbeat, long nowMicros) {
+    void onHeartbeat(Address companion, Frame.Heartbeat heartbeat, long nowMicros) {
         peers.requestOnHeartbeat(heartbeat.revisions(), nowMicros)
                 .ifPresent(question -> outbox.send(companion, question));
     }
 
-    void asked(Address companion, Frame.ConfigurationRequest request) {
+    void onConfigurationRequest(Address companion, Frame.ConfigurationRequest request) {
         peers.answer(request).forEach(answer -> outbox.send(companion, answer));
     }
 
-    /** Takes what a companion holds, unless the log itself can tell. */
-    void told(List<LogRecord> records) {
+    /** Applies records that a companion sent, unless the log itself can be read. */
+    void onConfigurationRecords(List<LogRecord> records) {
         if (peers.needsPeers()) {
-            take(records);
+            apply(records);
         }
     }
 
@@ -86,7 +88,7 @@
         }
     }
 
-    private List<EditDecision> take(List<LogRecord> records) {
+    private List<EditDecision> apply(List<LogRecord> records) {
         List<EditDecision> decisions = documents.apply(records);
         for (DocumentChange change : documents.update()) {
             if (change instanceof DocumentChange.InForce inForce) {
@@ -97,7 +99,7 @@
                         .orElseThrow();
                 services.put(inForce.document(), inForce.revision(), text);
             } else if (change instanceof DocumentChange.Unreadable unreadable) {
-                outbox.note(DocumentChange.Unreadable.EVENT, unreadable.fields());
+                outbox.logEvent(DocumentChange.Unreadable.EVENT, unreadable.fields());
             }
         }
         return decisions;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEffect.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEffect.java
@@ -10,10 +10,10 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.Refusal;
 
-/** What an entry's machine asks the daemon to do. */
+/** An action that an entry's state machine requests from the daemon. */
 public sealed interface EntryEffect {
     /**
-     * Begin the answer to a caller.
+     * Start the answer to a caller.
      *
      * @param sequence the request
      * @param status the HTTP status
@@ -22,23 +22,23 @@
     record BeginAnswer(long sequence, int status, List<Header> headers) implements EntryEffect {}
 
     /**
-     * Send a part of the answer's body. The daemon says {@link EntryEvent.ChunksWritten} when the connection took it.
+     * Send a chunk of the answer's body. The daemon reports {@link EntryEvent.ChunksWritten} once it is written.
      *
      * @param sequence the request
-     * @param bytes the part
+     * @param bytes the chunk
      */
     record SendChunk(long sequence, byte[] bytes) implements EntryEffect {}
 
     /**
-     * The answer is whole: end it.
+     * End a complete answer.
      *
      * @param sequence the request
      */
     record EndAnswer(long sequence) implements EntryEffect {}
 
     /**
-     * The final answer is an error: at once. If the answer had begun, the connection is broken off so that the caller
-     * can't take a part for the whole; a streamed answer gets an error event first.
+     * Answer a request with an error immediately. If the answer had already started, the connection is aborted so that
+     * the caller can't mistake a truncated answer for a complete one; a streamed answer gets an error event first.
      *
      * @param sequence the request
      * @param refusal the error
@@ -46,7 +46,7 @@
     record Refuse(long sequence, Refusal refusal) implements EntryEffect {}
 
     /**
-     * Open a link to a companion; always answered by LinkOpened or LinkClosed. An older link to it is closed first.
+     * Open a link to a companion. A LinkOpened or LinkClosed event always follows. An older link is closed first.
      *
      * @param companion its address
      */
@@ -60,7 +60,7 @@
     record CloseLink(Address companion) implements EntryEffect {}
 
     /**
-     * Send a frame on the link to a companion; lost if there is none.
+     * Send a frame on the link to a companion; the frame is dropped if there is no link.
      *
      * @param companion its address
      * @param frame the frame
@@ -68,7 +68,7 @@
     record SendFrame(Address companion, Frame frame) implements EntryEffect {}
 
     /**
-     * Append a batch to the log; answered by AppendSettled.
+     * Append a batch to the log. An AppendSettled event follows.
      *
      * @param stream the stream
      * @param batch the batch
@@ -76,30 +76,29 @@
     record Append(LogStream stream, LogBatch batch) implements EntryEffect {}
 
     /**
-     * Answer an operator.
+     * Reply to an operator.
      *
-     * @param handle the operator's connection
+     * @param handle identifies the operator's connection
      * @param reply the answer
      */
     record ReplyToOperator(long handle, OperatorReply reply) implements EntryEffect {}
 
     /**
-     * A request has ended: for logs, metrics and the burn report.
+     * Record an ended request in logs, metrics and the burn report.
      *
-     * @param summary what is worth knowing about it
-     * @param requestClass its request class, which says what counts as good; empty if it was refused before that was
-     * known
+     * @param summary the summary of the request
+     * @param requestClass its class, which has the objective; empty if it was refused before the class was known
      */
     record RequestEnded(RequestSummary summary, Optional<RequestClass> requestClass) implements EntryEffect {}
 
     /**
-     * Something that an operator may want to see in the log.
+     * Write an event to the process log.
      *
-     * @param event a fixed word for it, such as {@code companion_lost}
-     * @param fields key, value, key, value and so on
+     * @param event the event's fixed name, such as {@code companion_linked}
+     * @param fields alternating keys and values
      */
     record LogEvent(String event, List<String> fields) implements EntryEffect {}
 
-    /** Nothing runs any more and none will be taken: the process may end. */
+    /** Draining is complete: no request is in flight and none will be accepted, so the process may exit. */
     record Drained() implements EntryEffect {}
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEvent.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryEvent.java
@@ -7,48 +7,48 @@
 import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.Address;
 
-/** What happens to an entry. A caller's connection is named by the sequence that the daemon gave its request. */
+/** An input of an entry's state machine. Callers are identified by the sequence number of their request. */
 public sealed interface EntryEvent {
     /**
-     * A caller's request has arrived whole.
+     * A caller's request was received completely.
      *
-     * @param sequence names the request at this entry; counts up from 1
+     * @param sequence identifies the request at this entry; counts up from 1
      * @param request the request
      */
     record RequestArrived(long sequence, CallerRequest request) implements EntryEvent {}
 
     /**
-     * The caller's connection took chunks that were answered.
+     * Chunks of an answer were written to the caller's connection.
      *
      * @param sequence the request
-     * @param chunks how many
+     * @param chunks the number of chunks
      */
     record ChunksWritten(long sequence, int chunks) implements EntryEvent {}
 
     /**
-     * The caller's connection is gone.
+     * The caller's connection was closed.
      *
      * @param sequence the request
      */
     record CallerDisconnected(long sequence) implements EntryEvent {}
 
     /**
-     * A link to a companion is up and its hello has arrived.
+     * A link to a companion is open and its hello was received.
      *
      * @param companion the companion's address
-     * @param hello what it said
+     * @param hello the hello
      */
     record LinkOpened(Address companion, Frame.Hello hello) implements EntryEvent {}
 
     /**
-     * A link is gone, or couldn't be opened. The machine asks for another.
+     * A link was lost or couldn't be opened. The state machine requests a new one when it needs it.
      *
      * @param companion the companion's address
      */
     record LinkClosed(Address companion) implements EntryEvent {}
 
     /**
-     * A frame has arrived on a link.
+     * A frame was received on a link.
      *
      * @param companion the companion's address
      * @param frame the frame
@@ -56,7 +56,7 @@
     record FrameArrived(Address companion, Frame frame) implements EntryEvent {}
 
     /**
-     * Records have been read from the log, in order and without gaps but for what retention dropped.
+     * Records were read from the log, in order and without gaps except for records that retention dropped.
      *
      * @param stream the stream
      * @param records the records
@@ -65,47 +65,47 @@
     record LogRead(LogStream stream, List<LogRecord> records, boolean caughtUp) implements EntryEvent {}
 
     /**
-     * The log couldn't be read.
+     * Reading the log failed.
      *
      * @param stream the stream
      */
     record LogReadFailed(LogStream stream) implements EntryEvent {}
 
     /**
-     * The log answered an append, or didn't.
+     * An append to the log was answered or its answer was lost.
      *
      * @param stream the stream
      * @param sequence the batch's sequence
-     * @param result the answer
+     * @param result the outcome
      */
     record AppendSettled(LogStream stream, long sequence, AppendResult result) implements EntryEvent {}
 
     /**
-     * The platform's lagging list of instances.
+     * The platform's list of instances was read; it may be out of date.
      *
-     * @param instances what it says now
+     * @param instances the listed instances
      */
     record InstancesListed(List<ListedInstance> instances) implements EntryEvent {}
 
     /**
-     * An operator asks or orders.
+     * An operator sent a call.
      *
-     * @param handle names the operator's connection
-     * @param call what is asked
+     * @param handle identifies the operator's connection
+     * @param call the call
      */
     record OperatorCalled(long handle, OperatorCall call) implements EntryEvent {}
 
-    /** Time has passed; about every 50 ms. */
+    /** A timer tick, about every 50 ms. */
     record Tick() implements EntryEvent {}
 
-    /** The process has been asked to stop. */
+    /** The process was asked to stop. */
     record DrainRequested() implements EntryEvent {}
 
     /**
-     * One line of the platform's list.
+     * One instance of the platform's list.
      *
-     * @param address the instance's address: a target's
-     * @param leaving whether it is about to leave
+     * @param address the address of the instance, which is a target's
+     * @param leaving whether the instance is about to leave
      */
     record ListedInstance(Address address, boolean leaving) {}
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntryMachine.java
@@ -19,7 +19,8 @@
 import org.rattanrudder.core.routing.RoutingPolicy;
 
 /**
- * An entry: admits callers' requests, sends each to a target's companion, and passes the answer back whole.
+ * The state machine of an entry: admits callers' requests, dispatches each to a target's companion and forwards the
+ * complete answer.
  *
  * <pre>{@code
  * EntryMachine entry = new EntryMachine(settings, reader, new SplittableRandom(seed));
@@ -29,67 +30,67 @@
  */
 public final class EntryMachine implements StateMachine<EntryEvent, EntryEffect> {
     /**
-     * How long requests are still taken after the process was asked to stop, in microseconds: the platform's balancer
-     * needs that long to see that the entry leaves, and what it sends until then is to be served.
+     * Time in microseconds for which requests are still accepted after the process was asked to stop. The platform's
+     * load balancer needs that long to notice, and the requests that it sends until then must be served.
      */
-    public static final long DRAIN_MICROS = 2_000_000;
+    public static final long DRAIN_GRACE_MICROS = 2_000_000;
 
     private static final long NOT_DRAINING = -1;
 
-    /** Operators wait longer for a slow log than callers would. */
+    /** The timeouts are long because operators wait longer for a slow log than callers would. */
     private static final LogWriterSettings LOG_SETTINGS =
             new LogWriterSettings(10_000, 256, 256 * 1024, 4096, 200_000, 2_000_000, 20_000, 2_000_000);
 
     private final Outbox outbox = new Outbox();
     private final ServiceTable services;
-    private final Requests requests;
+    private final InFlightRequests requests;
     private final Admission admission;
     private final PromptQuarantine quarantine;
-    private final Endings endings;
-    private final Attempts attempts;
+    private final RequestCompleter completer;
+    private final RequestDispatcher dispatcher;
     private final AnswerRelay answers;
     private final Membership membership;
     private final LogWriter log;
     private final Configuration configuration;
     private final Publisher publisher;
     private final OperatorQueries operators;
-    private final Set<Address> peers;
+    private final Set<Address> bootstrapCompanions;
     private boolean logReachable;
-    private long drainMicros = NOT_DRAINING;
+    private long drainStartMicros = NOT_DRAINING;
     private boolean drained;
 
     /**
-     * Creates an entry that knows no document yet.
+     * Creates an entry without documents.
      *
-     * @param settings what it knows of itself
-     * @param reader reads documents
-     * @param random breaks ties and spreads retries
+     * @param settings the entry's settings
+     * @param reader parses documents
+     * @param random source of randomness for routing and for jitter
      */
     public EntryMachine(EntrySettings settings, DocumentReader reader, RandomGenerator random) {
         this(settings, reader, random, new AffinityPolicy(settings.failureDomain(), random));
     }
 
-    /** Creates an entry with another policy, to compare policies. */
+    /** Creates an entry with the given routing policy, to compare policies. */
     public EntryMachine(EntrySettings settings, DocumentReader reader, RandomGenerator random, RoutingPolicy policy) {
         services = new ServiceTable(random);
-        requests = new Requests();
+        requests = new InFlightRequests();
         admission = new Admission(services);
         quarantine = new PromptQuarantine();
-        endings = new Endings(settings.incarnation(), requests, services, outbox, quarantine);
-        attempts = new Attempts(requests, endings, policy, outbox, quarantine);
-        answers = new AnswerRelay(requests, attempts, endings, outbox);
-        membership = new Membership(settings, services, outbox, random, attempts);
-        attempts.use(membership);
-        peers = Set.copyOf(settings.peers());
+        completer = new RequestCompleter(settings.incarnation(), requests, services, outbox, quarantine);
+        dispatcher = new RequestDispatcher(requests, completer, policy, outbox, quarantine);
+        answers = new AnswerRelay(requests, dispatcher, completer, outbox);
+        membership = new Membership(settings, services, outbox, random, dispatcher);
+        dispatcher.setMembership(membership);
+        bootstrapCompanions = Set.copyOf(settings.bootstrapCompanions());
         log = new LogWriter(LogStream.CONFIGURATION, settings.incarnation(), LOG_SETTINGS, random);
         configuration = new Configuration(reader, services, log, random, outbox);
         publisher = new Publisher(settings.incarnation(), reader, configuration, log, outbox);
         operators = new OperatorQueries(settings, services, admission, policy, outbox);
     }
 
-    /** Returns whether the entry has read the configuration and takes requests. */
+    /** Returns whether the entry has a configuration and isn't draining. */
     public boolean isReady() {
-        return configuration.isKnown() && drainMicros == NOT_DRAINING;
+        return configuration.isKnown() && drainStartMicros == NOT_DRAINING;
     }
 
     /** Returns the documents in force. */
@@ -101,125 +102,126 @@
     public void handle(EntryEvent event, long nowMicros, Consumer<? super EntryEffect> effects) {
         outbox.bind(effects);
         if (event instanceof EntryEvent.FrameArrived arrived) {
-            frame(arrived.companion(), arrived.frame(), nowMicros);
+            handleFrame(arrived.companion(), arrived.frame(), nowMicros);
         } else if (event instanceof EntryEvent.RequestArrived arrived) {
-            request(arrived, nowMicros);
-        } else if (event instanceof EntryEvent.ChunksWritten took) {
-            requests.bySequence(took.sequence())
-                    .ifPresent(inFlight -> answers.callerTook(inFlight, took.chunks(), nowMicros));
-        } else if (event instanceof EntryEvent.CallerDisconnected gone) {
-            requests.bySequence(gone.sequence()).ifPresent(inFlight -> attempts.cancel(inFlight, nowMicros));
+            handleRequest(arrived, nowMicros);
+        } else if (event instanceof EntryEvent.ChunksWritten written) {
+            requests.bySequence(written.sequence())
+                    .ifPresent(inFlight -> answers.onChunksWritten(inFlight, written.chunks(), nowMicros));
+        } else if (event instanceof EntryEvent.CallerDisconnected disconnected) {
+            requests.bySequence(disconnected.sequence()).ifPresent(inFlight -> dispatcher.cancel(inFlight, nowMicros));
         } else if (event instanceof EntryEvent.Tick) {
             tick(nowMicros);
         } else if (event instanceof EntryEvent.LinkOpened opened) {
-            membership.opened(opened.companion(), opened.hello(), nowMicros);
-            configuration.linked(opened.companion(), nowMicros);
+            membership.onLinkOpened(opened.companion(), opened.hello(), nowMicros);
+            configuration.onLinkOpened(opened.companion(), nowMicros);
         } else if (event instanceof EntryEvent.LinkClosed closed) {
-            membership.closed(closed.companion(), nowMicros);
+            membership.onLinkClosed(closed.companion(), nowMicros);
         } else {
-            platform(event, nowMicros);
+            handlePlatformEvent(event, nowMicros);
         }
         log.sendDue(nowMicros, (stream, batch) -> outbox.emit(new EntryEffect.Append(stream, batch)));
         finishDraining(nowMicros);
     }
 
-    private void platform(EntryEvent event, long nowMicros) {
+    private void handlePlatformEvent(EntryEvent event, long nowMicros) {
         if (event instanceof EntryEvent.LogRead read) {
-            logRead(read, nowMicros);
+            onLogRead(read, nowMicros);
         } else if (event instanceof EntryEvent.LogReadFailed failed) {
-            logReadFailed(failed.stream(), nowMicros);
+            onLogReadFailed(failed.stream(), nowMicros);
         } else if (event instanceof EntryEvent.AppendSettled settled) {
             log.onAppendResult(settled.sequence(), settled.result(), nowMicros);
         } else if (event instanceof EntryEvent.InstancesListed listed) {
-            membership.listed(listed.instances(), nowMicros);
+            membership.onInstancesListed(listed.instances(), nowMicros);
         } else if (event instanceof EntryEvent.OperatorCalled called) {
-            operator(called.handle(), called.call(), nowMicros);
+            handleOperatorCall(called.handle(), called.call(), nowMicros);
         } else if (event instanceof EntryEvent.DrainRequested) {
             drain(nowMicros);
         }
     }
 
-    private void logRead(EntryEvent.LogRead read, long nowMicros) {
+    private void onLogRead(EntryEvent.LogRead read, long nowMicros) {
         logReachable = true;
         if (read.stream() != LogStream.CONFIGURATION) {
             return;
         }
         log.onRecords(read.records(), read.caughtUp());
-        publisher.readBack(configuration.read(read.records(), read.caughtUp()));
+        publisher.onDecisions(configuration.onLogRecords(read.records(), read.caughtUp()));
         publisher.tick(nowMicros);
-        follow(nowMicros);
+        updateCompanions(nowMicros);
     }
 
     /**
-     * Links to the companions that the documents name; as long as there are none, to those of the settings.
+     * Links to the companions in the documents or, while there are no documents, to the bootstrap companions.
      *
-     * <p>Failure: an entry that starts while the log is down refuses every request until the log is back, since it
-     * knows no document and from none whom to ask. Companions answer with the documents that they hold.
+     * <p>Without these, an entry that starts while the log is down would refuse every request until the log is back: it
+     * has no document, and only documents contain the companions' addresses. Companions send the documents that they
+     * have.
      */
-    private void follow(long nowMicros) {
-        membership.follow(configuration.isKnown() ? services.companions() : peers, nowMicros);
+    private void updateCompanions(long nowMicros) {
+        membership.setCompanions(configuration.isKnown() ? services.companions() : bootstrapCompanions, nowMicros);
     }
 
-    private void logReadFailed(LogStream stream, long nowMicros) {
+    private void onLogReadFailed(LogStream stream, long nowMicros) {
         logReachable = false;
         if (stream == LogStream.CONFIGURATION) {
             log.onReadFailed();
-            configuration.readFailed();
+            configuration.onLogReadFailed();
             publisher.tick(nowMicros);
-            follow(nowMicros);
+            updateCompanions(nowMicros);
         }
     }
 
-    private void request(EntryEvent.RequestArrived arrived, long nowMicros) {
+    private void handleRequest(EntryEvent.RequestArrived arrived, long nowMicros) {
         CallerRequest request = arrived.request();
-        if (drainMicros != NOT_DRAINING && nowMicros - drainMicros >= DRAIN_MICROS) {
+        if (drainStartMicros != NOT_DRAINING && nowMicros - drainStartMicros >= DRAIN_GRACE_MICROS) {
             Refusal leaving = new Refusal(ErrorKind.DRAINING, 0, "this entry leaves");
             Admission.Refused refused = new Admission.Refused(leaving, "", "");
-            endings.refuseUnadmitted(arrived.sequence(), request, refused, nowMicros);
+            completer.refuseUnadmitted(arrived.sequence(), request, refused, nowMicros);
             return;
         }
-        Admission.Verdict verdict =
-                admission.judge(request, membership.entries(nowMicros), membership.usage(), nowMicros);
-        if (verdict instanceof Admission.Admitted admitted) {
-            admitted(arrived, admitted.terms(), nowMicros);
-        } else if (verdict instanceof Admission.Refused refused) {
-            endings.refuseUnadmitted(arrived.sequence(), request, refused, nowMicros);
+        Admission.Decision decision =
+                admission.decide(request, membership.entryCount(nowMicros), membership.usage(), nowMicros);
+        if (decision instanceof Admission.Admitted admitted) {
+            handleAdmitted(arrived, admitted.terms(), nowMicros);
+        } else if (decision instanceof Admission.Refused refused) {
+            completer.refuseUnadmitted(arrived.sequence(), request, refused, nowMicros);
         }
     }
 
-    private void admitted(EntryEvent.RequestArrived arrived, Admission.Terms terms, long nowMicros) {
+    private void handleAdmitted(EntryEvent.RequestArrived arrived, Admission.Terms terms, long nowMicros) {
         Optional<Refusal> quarantined = quarantine.refusal(terms, arrived.request(), nowMicros);
         if (quarantined.isPresent()) {
             Admission.Refused refused = new Admission.Refused(
                     quarantined.get(),
                     terms.customer().name().value(),
                     terms.requestClass().name());
-            endings.refuseUnadmitted(arrived.sequence(), arrived.request(), refused, nowMicros);
+            completer.refuseUnadmitted(arrived.sequence(), arrived.request(), refused, nowMicros);
             return;
         }
-        attempts.begin(new InFlight(arrived.sequence(), arrived.request(), terms, nowMicros), nowMicros);
+        dispatcher.start(new InFlightRequest(arrived.sequence(), arrived.request(), terms, nowMicros), nowMicros);
     }
 
-    private void frame(Address companion, Frame frame, long nowMicros) {
-        if (!membership.heard(companion, nowMicros)) {
+    private void handleFrame(Address companion, Frame frame, long nowMicros) {
+        if (!membership.onFrame(companion, nowMicros)) {
             return;
         }
         if (frame instanceof Frame.AttemptFrame ofAttempt) {
-            answers.take(companion, ofAttempt, nowMicros);
+            answers.onFrame(companion, ofAttempt, nowMicros);
         } else if (frame instanceof Frame.Heartbeat heartbeat) {
-            membership.heartbeat(companion, heartbeat, nowMicros);
-            configuration.heard(companion, heartbeat, nowMicros);
+            membership.onHeartbeat(companion, heartbeat, nowMicros);
+            configuration.onHeartbeat(companion, heartbeat, nowMicros);
         } else if (frame instanceof Frame.ConfigurationRequest request) {
-            configuration.asked(companion, request);
-        } else if (frame instanceof Frame.ConfigurationRecords told) {
-            configuration.told(told.records());
-            follow(nowMicros);
+            configuration.onConfigurationRequest(companion, request);
+        } else if (frame instanceof Frame.ConfigurationRecords records) {
+            configuration.onConfigurationRecords(records.records());
+            updateCompanions(nowMicros);
         } else if (frame instanceof Frame.Leaving) {
-            membership.leaving(companion);
+            membership.onLeaving(companion);
         }
     }
 
-    private void operator(long handle, OperatorCall call, long nowMicros) {
+    private void handleOperatorCall(long handle, OperatorCall call, long nowMicros) {
         if (call instanceof OperatorCall.Publish publish) {
             publisher.publish(handle, publish, nowMicros);
         } else if (call instanceof OperatorCall.Show show) {
@@ -233,17 +235,17 @@
 
     private void tick(long nowMicros) {
         membership.tick(nowMicros);
-        attempts.tick(nowMicros);
+        dispatcher.tick(nowMicros);
         publisher.tick(nowMicros);
         configuration.tick(nowMicros);
         quarantine.tick(nowMicros);
     }
 
     private void drain(long nowMicros) {
-        if (drainMicros != NOT_DRAINING) {
+        if (drainStartMicros != NOT_DRAINING) {
             return;
         }
-        drainMicros = nowMicros;
+        drainStartMicros = nowMicros;
         for (CompanionLink link : membership.links()) {
             if (link.isOpen()) {
                 outbox.send(link.address, new Frame.Leaving());
@@ -252,8 +254,8 @@
     }
 
     private void finishDraining(long nowMicros) {
-        boolean over = drainMicros != NOT_DRAINING && nowMicros - drainMicros >= DRAIN_MICROS;
-        if (over && !drained && requests.isEmpty() && publisher.isIdle()) {
+        boolean graceOver = drainStartMicros != NOT_DRAINING && nowMicros - drainStartMicros >= DRAIN_GRACE_MICROS;
+        if (graceOver && !drained && requests.isEmpty() && publisher.isIdle()) {
             drained = true;
             outbox.emit(new EntryEffect.Drained());
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntrySettings.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/EntrySettings.java
@@ -5,22 +5,26 @@
 import org.rattanrudder.core.model.InstanceName;
 
 /**
- * What an entry knows of itself.
+ * The settings of an entry process.
  *
- * @param instance its name
- * @param incarnation drawn anew at each start of the process; never 0
- * @param failureDomain the failure domain it stands in
- * @param release its release
- * @param peers companions to ask for the documents when the entry starts and the log can't be read
+ * @param instance the entry's instance name
+ * @param incarnation a random number, different for each start of the process; never 0
+ * @param failureDomain the entry's failure domain
+ * @param release the entry's release
+ * @param bootstrapCompanions companions from which to request the documents if the log can't be read at start
  */
 public record EntrySettings(
-        InstanceName instance, long incarnation, String failureDomain, String release, List<Address> peers) {
-    /** Copies the list. */
+        InstanceName instance,
+        long incarnation,
+        String failureDomain,
+        String release,
+        List<Address> bootstrapCompanions) {
+    /** Creates settings with a copy of the list. */
     public EntrySettings {
-        peers = List.copyOf(peers);
+        bootstrapCompanions = List.copyOf(bootstrapCompanions);
     }
 
-    /** An entry that knows no companion before it has read a document. */
+    /** Creates settings without bootstrap companions. */
     public EntrySettings(InstanceName instance, long incarnation, String failureDomain, String release) {
         this(instance, incarnation, failureDomain, release, List.of());
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/InFlight.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/InFlightRequest.java
@@ -13,8 +13,8 @@
 import org.rattanrudder.core.routing.Route;
 import org.rattanrudder.core.routing.RoutingQuery;
 
-/** An admitted request until its final answer, with the one attempt that counts. */
-final class InFlight {
+/** The state of an admitted request until its final answer, with its current attempt. */
+final class InFlightRequest {
     private static final long MICROS_PER_MILLI = 1_000;
 
     final long sequence;
@@ -22,45 +22,45 @@
     final Admission.Terms terms;
     final long arrivedMicros;
 
-    /** Targets that had an attempt. */
-    final Set<TargetName> tried = new HashSet<>();
+    /** Targets that already had an attempt. */
+    final Set<TargetName> triedTargets = new HashSet<>();
 
     AttemptId attempt;
-    /** Where the attempt went; null before the first dispatch. */
+    /** Route of the current attempt; null before the first dispatch. */
     Route route;
 
     long companionIncarnation;
-    int attempts;
+    int attemptCount;
     boolean accepted;
-    /** Whether an earlier attempt may have run, so that the request can't be said not to have run. */
+    /** Whether an earlier attempt may have run, so that no refusal may claim that the request didn't run. */
     boolean mayHaveRun;
-    /** Whether the caller has the head of the answer: from then on no other attempt can take over. */
-    boolean begun;
+    /** Whether the head of the answer was sent to the caller, after which no other attempt can answer. */
+    boolean answerStarted;
 
     int status;
     long nextChunk;
-    long takenChunks;
-    /** Chunks before this one get no credit: the companion's window began anew here. */
-    long creditedFrom;
+    long writtenChunks;
+    /** Chunks before this one earn no credit, because the companion's window was reset here. */
+    long creditStartChunk;
 
-    int unsentCredit;
+    int pendingCredit;
     long firstByteMicros = -1;
-    /** When the attempt was sent. */
+    /** Time at which the attempt was sent. */
     long sentMicros;
-    /** When anything of the answer last moved. */
+    /** Time of the answer's last progress. */
     long progressMicros;
-    /** When the link of the attempt broke; -1 while it is up. */
-    long brokenMicros = -1;
+    /** Time at which the attempt's link was lost; -1 while it is open. */
+    long linkLostMicros = -1;
 
-    /** When chunks were last asked for again. */
-    long resumedMicros = Long.MIN_VALUE / 2;
-    /** Whether chunks were seen to be missing since then. */
-    boolean missing;
+    /** Time at which missing chunks were last requested. */
+    long resumeSentMicros = Long.MIN_VALUE / 2;
+    /** Whether chunks were found missing since then. */
+    boolean hasMissingChunks;
 
-    long wakeMicros = Long.MAX_VALUE;
+    long nextCheckMicros = Long.MAX_VALUE;
     Usage usage = Usage.NONE;
 
-    InFlight(long sequence, CallerRequest request, Admission.Terms terms, long arrivedMicros) {
+    InFlightRequest(long sequence, CallerRequest request, Admission.Terms terms, long arrivedMicros) {
         this.sequence = sequence;
         this.request = request;
         this.terms = terms;
@@ -84,7 +84,7 @@
         return terms.requestClass();
     }
 
-    /** Returns the companion that has the attempt; null before the first dispatch. */
+    /** Returns the companion of the current attempt; null before the first dispatch. */
     Address companion() {
         return route == null ? null : route.target().companion();
     }
@@ -94,25 +94,25 @@
         return arrivedMicros + requestClass().deadlineMillis() * MICROS_PER_MILLI;
     }
 
-    /** Returns how long a running attempt may make no progress, in microseconds. */
+    /** Returns the maximum time without progress of a running attempt, in microseconds. */
     long progressLimitMicros() {
         return document().limits().progressMillis() * MICROS_PER_MILLI;
     }
 
-    /** Returns how many chunks the caller's connection hasn't taken yet. */
-    long untakenChunks() {
-        return nextChunk - takenChunks;
+    /** Returns the number of chunks that aren't written to the caller's connection yet. */
+    long unwrittenChunks() {
+        return nextChunk - writtenChunks;
     }
 
     RoutingQuery query() {
         if (terms.affinity() == Affinity.NONE) {
-            return RoutingQuery.withoutAffinity(tried);
+            return RoutingQuery.withoutAffinity(triedTargets);
         }
         return new RoutingQuery(
                 terms.affinity(),
                 terms.affinityKey(),
                 terms.contextTokens(),
                 service().costs(),
-                tried);
+                triedTargets);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/LinkListener.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/LinkListener.java
@@ -2,17 +2,17 @@
 
 import org.rattanrudder.core.model.Address;
 
-/** Hears what becomes of the links, to decide about the attempts on them. */
+/** Is notified of changes of companion links, to decide on the attempts sent over them. */
 interface LinkListener {
-    /** Returns whether attempts still need the link to this companion. */
-    boolean uses(Address companion);
+    /** Returns whether attempts in flight need the link to this companion. */
+    boolean needsLink(Address companion);
 
-    /** A link broke or went silent; another is being opened. Nothing is known yet of the attempts on it. */
-    void linkBroke(Address companion, long nowMicros);
+    /** A link was lost or unresponsive, and a new one is opened. The state of the attempts on it is unknown. */
+    void onLinkLost(Address companion, long nowMicros);
 
-    /** A fresh link couldn't be opened either; more tries follow. */
-    void linkFailed(Address companion, long nowMicros);
+    /** A link couldn't be opened; further attempts to open one follow. */
+    void onLinkFailed(Address companion, long nowMicros);
 
-    /** A link is up. Attempts of another incarnation than the link's have lost their companion. */
-    void linkOpened(CompanionLink link, long nowMicros);
+    /** A link is open. Attempts sent to another incarnation than the link's are lost. */
+    void onLinkOpened(CompanionLink link, long nowMicros);
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Membership.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Membership.java
@@ -12,19 +12,17 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.routing.RoutableTarget;
 
-/**
- * Keeps a link to every companion that the documents name and knows which of them live, by heartbeat and incarnation.
- */
+/** Maintains a link to every companion in the documents, and tracks their liveness by heartbeat and incarnation. */
 final class Membership {
-    /** How often an entry sends a heartbeat, in microseconds. */
-    static final long HEARTBEAT_MICROS = 1_000_000;
+    /** Interval between an entry's heartbeats, in microseconds. */
+    static final long HEARTBEAT_INTERVAL_MICROS = 1_000_000;
 
-    /** After how long without a frame a link counts as silent, in microseconds. */
-    static final long SILENT_MICROS = 2_000_000;
+    /** Time in microseconds without a frame after which a link counts as unresponsive. */
+    static final long LINK_TIMEOUT_MICROS = 2_000_000;
 
-    private static final long OPENING_MICROS = 2_000_000;
-    private static final long FIRST_BACKOFF_MICROS = 100_000;
-    private static final long LONGEST_BACKOFF_MICROS = 2_000_000;
+    private static final long OPEN_TIMEOUT_MICROS = 2_000_000;
+    private static final long INITIAL_BACKOFF_MICROS = 100_000;
+    private static final long MAX_BACKOFF_MICROS = 2_000_000;
 
     private final EntrySettings settings;
     private final ServiceTable services;
@@ -33,7 +31,7 @@
     private final LinkListener listener;
     private final Map<Address, CompanionLink> links = new LinkedHashMap<>();
     private final CustomerUsage usage = new CustomerUsage();
-    private Set<Address> wanted = Set.of();
+    private Set<Address> configuredCompanions = Set.of();
 
     Membership(
             EntrySettings settings,
@@ -56,25 +54,25 @@
         return links.values();
     }
 
-    /** Returns what all entries let pass of the customers' rates. */
+    /** Returns the rates of requests that all entries admit for each customer. */
     CustomerUsage usage() {
         return usage;
     }
 
-    /** Returns how many entries share the customers' rates: the most that any companion with fresh news hears. */
-    int entries(long nowMicros) {
-        int most = 1;
+    /** Returns the number of entries that share the customers' rates: the maximum in the fresh heartbeats. */
+    int entryCount(long nowMicros) {
+        int max = 1;
         for (CompanionLink link : links.values()) {
             if (link.heartbeat != null && nowMicros - link.heartbeatMicros < RoutableTarget.MAX_REPORT_AGE_MICROS) {
-                most = Math.max(most, link.heartbeat.entries());
+                max = Math.max(max, link.heartbeat.entries());
             }
         }
-        return most;
+        return max;
     }
 
-    /** Opens links to companions that the documents now name; links to others close when nothing runs on them. */
-    void follow(Set<Address> companions, long nowMicros) {
-        wanted = Set.copyOf(companions);
+    /** Sets the companions to link to; links to other companions are closed once no attempt needs them. */
+    void setCompanions(Set<Address> companions, long nowMicros) {
+        configuredCompanions = Set.copyOf(companions);
         for (Address companion : companions) {
             if (!links.containsKey(companion)) {
                 CompanionLink link = new CompanionLink(companion);
@@ -84,7 +82,7 @@
         }
     }
 
-    void opened(Address companion, Frame.Hello hello, long nowMicros) {
+    void onLinkOpened(Address companion, Frame.Hello hello, long nowMicros) {
         CompanionLink link = links.get(companion);
         if (link == null) {
             outbox.emit(new EntryEffect.CloseLink(companion));
@@ -93,97 +91,98 @@
         if (link.incarnation() != hello.incarnation()) {
             link.leaving = false;
             link.heartbeat = null;
-            targetsRefuseWork(companion);
+            markTargetsUnavailable(companion);
         }
-        link.enter(CompanionLink.State.OPEN, nowMicros);
+        link.enterState(CompanionLink.State.OPEN, nowMicros);
         link.hello = hello;
-        link.heardMicros = nowMicros;
+        link.lastFrameMicros = nowMicros;
         link.heartbeatsSent = 0;
         sendHeartbeat(link, nowMicros);
-        outbox.note(
+        outbox.logEvent(
                 "companion_linked",
                 "companion",
                 companion.toString(),
                 "instance",
                 hello.instance().value());
-        listener.linkOpened(link, nowMicros);
+        listener.onLinkOpened(link, nowMicros);
     }
 
-    void closed(Address companion, long nowMicros) {
+    void onLinkClosed(Address companion, long nowMicros) {
         CompanionLink link = links.get(companion);
         if (link == null || link.state == CompanionLink.State.CLOSED) {
             return;
         }
-        lost(link, nowMicros);
+        onLinkLost(link, nowMicros);
     }
 
-    /** Notes that a frame was heard on the link; false if the link isn't up, so that the frame is to be dropped. */
-    boolean heard(Address companion, long nowMicros) {
+    /** Records that a frame was received; returns false if the link isn't open and the frame must be dropped. */
+    boolean onFrame(Address companion, long nowMicros) {
         CompanionLink link = links.get(companion);
         if (link == null || !link.isOpen()) {
             return false;
         }
-        link.heardMicros = nowMicros;
+        link.lastFrameMicros = nowMicros;
         return true;
     }
 
-    void heartbeat(Address companion, Frame.Heartbeat heartbeat, long nowMicros) {
+    void onHeartbeat(Address companion, Frame.Heartbeat heartbeat, long nowMicros) {
         CompanionLink link = links.get(companion);
         if (heartbeat.incarnation() != link.incarnation()) {
-            // A restarted companion whose listener took over the connection would speak for attempts that it never
-            // had: only a hello may change the incarnation, so the link starts anew.
+            // A restarted companion that took over the connection would report on attempts that it never had. Only a
+            // hello may change the incarnation, so the link is closed and opened again.
             outbox.emit(new EntryEffect.CloseLink(companion));
-            lost(link, nowMicros);
+            onLinkLost(link, nowMicros);
             return;
         }
         link.failures = 0;
         link.heartbeat = heartbeat;
         link.heartbeatMicros = nowMicros;
-        usage.heard(companion, heartbeat, nowMicros);
-        for (RoutableTarget target : services.targetsBehind(companion)) {
+        usage.onHeartbeat(companion, heartbeat, nowMicros);
+        for (RoutableTarget target : services.targetsOf(companion)) {
             reportOf(heartbeat, target)
                     .filter(state -> !link.leaving)
                     .ifPresentOrElse(state -> target.applyReport(state, nowMicros), target::markUnavailable);
         }
     }
 
-    /** The companion leaves: it gets no new work until another incarnation says hello. */
-    void leaving(Address companion) {
+    /** Handles a leaving companion: it gets no new work until a hello of another incarnation is received. */
+    void onLeaving(Address companion) {
         link(companion).ifPresent(link -> link.leaving = true);
-        targetsRefuseWork(companion);
+        markTargetsUnavailable(companion);
     }
 
     /**
-     * Takes the platform's lagging list as a hint: a live target is worth another try of its companion at once, and one
-     * that leaves is taken only when no other is there. Whether a target takes work, only its companion says.
+     * Applies the platform's instance list, which may be out of date, as a hint: the companion of a listed target is
+     * reconnected soon, and a leaving target is chosen only if there is no other. Only the companion's reports decide
+     * whether a target accepts work.
      */
-    void listed(List<EntryEvent.ListedInstance> instances, long nowMicros) {
+    void onInstancesListed(List<EntryEvent.ListedInstance> instances, long nowMicros) {
         Map<Address, Boolean> leaving = new HashMap<>();
         instances.forEach(instance -> leaving.put(instance.address(), instance.leaving()));
         for (ServedService service : services.all()) {
             for (RoutableTarget target : service.pool().targets()) {
-                Boolean known = leaving.get(target.settings().address());
-                target.setListedLeaving(Boolean.TRUE.equals(known));
-                if (Boolean.FALSE.equals(known)) {
-                    tryAgain(target.companion(), nowMicros);
+                Boolean listedLeaving = leaving.get(target.settings().address());
+                target.setListedLeaving(Boolean.TRUE.equals(listedLeaving));
+                if (Boolean.FALSE.equals(listedLeaving)) {
+                    retrySoon(target.companion(), nowMicros);
                 }
             }
         }
     }
 
-    private void tryAgain(Address companion, long nowMicros) {
+    private void retrySoon(Address companion, long nowMicros) {
         CompanionLink link = links.get(companion);
         if (link != null && link.state == CompanionLink.State.CLOSED) {
-            link.nextOpenMicros = Math.min(link.nextOpenMicros, nowMicros + random.nextLong(FIRST_BACKOFF_MICROS));
+            link.nextOpenMicros = Math.min(link.nextOpenMicros, nowMicros + random.nextLong(INITIAL_BACKOFF_MICROS));
         }
     }
 
-    /** Sends heartbeats, finds silent links and opens those whose time has come. */
+    /** Sends heartbeats, replaces unresponsive links and opens links whose back-off has expired. */
     void tick(long nowMicros) {
         for (CompanionLink link : List.copyOf(links.values())) {
-            if (!wanted.contains(link.address) && !listener.uses(link.address)) {
+            if (!configuredCompanions.contains(link.address) && !listener.needsLink(link.address)) {
                 links.remove(link.address);
-                usage.forget(link.address);
+                usage.remove(link.address);
                 outbox.emit(new EntryEffect.CloseLink(link.address));
                 continue;
             }
@@ -191,16 +190,16 @@
                 case OPEN -> tickOpen(link, nowMicros);
                 case OPENING -> tickOpening(link, nowMicros);
                 case CLOSED -> tickClosed(link, nowMicros);
-                default -> throw new IllegalStateException("no such state of a link: " + link.state);
+                default -> throw new IllegalStateException("unexpected link state: " + link.state);
             }
         }
     }
 
     private void tickOpen(CompanionLink link, long nowMicros) {
-        if (nowMicros - link.heardMicros >= SILENT_MICROS) {
-            // Something between the two ends can lose track of a connection: it stays open, carries nothing for good,
-            // and the companion looks dead while new connections to it work. So a silent link is replaced first.
-            replace(link, nowMicros);
+        if (nowMicros - link.lastFrameMicros >= LINK_TIMEOUT_MICROS) {
+            // A device in the network can lose track of a connection, which then stays open but carries no data, while
+            // new connections to the companion work. So the link is replaced before the companion counts as dead.
+            replaceLink(link, nowMicros);
             return;
         }
         if (nowMicros >= link.nextHeartbeatMicros) {
@@ -209,26 +208,26 @@
     }
 
     /**
-     * Replaces a link on which nothing was heard since an attempt was sent. A connection that went silent for good
-     * shows by its heartbeats only after {@link #SILENT_MICROS}; the answer to an attempt is due much sooner.
+     * Replaces a link on which no frame was received since an attempt was sent. Missing heartbeats reveal a dead
+     * connection only after {@link #LINK_TIMEOUT_MICROS}, while the answer to an attempt is due much sooner.
      */
-    void suspect(Address companion, long sentMicros, long nowMicros) {
+    void replaceIfUnresponsive(Address companion, long sentMicros, long nowMicros) {
         CompanionLink link = links.get(companion);
-        if (link != null && link.isOpen() && link.heardMicros < sentMicros) {
-            replace(link, nowMicros);
+        if (link != null && link.isOpen() && link.lastFrameMicros < sentMicros) {
+            replaceLink(link, nowMicros);
         }
     }
 
-    private void replace(CompanionLink link, long nowMicros) {
-        outbox.note("link_silent", "companion", link.address.toString());
+    private void replaceLink(CompanionLink link, long nowMicros) {
+        outbox.logEvent("link_silent", "companion", link.address.toString());
         outbox.emit(new EntryEffect.CloseLink(link.address));
-        lost(link, nowMicros);
+        onLinkLost(link, nowMicros);
     }
 
     private void tickOpening(CompanionLink link, long nowMicros) {
-        if (nowMicros - link.sinceMicros >= OPENING_MICROS) {
+        if (nowMicros - link.stateSinceMicros >= OPEN_TIMEOUT_MICROS) {
             outbox.emit(new EntryEffect.CloseLink(link.address));
-            lost(link, nowMicros);
+            onLinkLost(link, nowMicros);
         }
     }
 
@@ -239,7 +238,7 @@
     }
 
     private void sendHeartbeat(CompanionLink link, long nowMicros) {
-        link.nextHeartbeatMicros = nowMicros + HEARTBEAT_MICROS;
+        link.nextHeartbeatMicros = nowMicros + HEARTBEAT_INTERVAL_MICROS;
         link.heartbeatsSent++;
         outbox.send(
                 link.address,
@@ -247,20 +246,20 @@
     }
 
     private void open(CompanionLink link, long nowMicros) {
-        link.enter(CompanionLink.State.OPENING, nowMicros);
+        link.enterState(CompanionLink.State.OPENING, nowMicros);
         outbox.emit(new EntryEffect.OpenLink(link.address));
     }
 
-    /** A link that was up is opened again at once; one that couldn't be opened waits longer each time. */
-    private void lost(CompanionLink link, long nowMicros) {
+    /** Reopens a link that was open at once, and one that couldn't be opened after an increasing back-off. */
+    private void onLinkLost(CompanionLink link, long nowMicros) {
         boolean wasOpen = link.isOpen();
-        targetsRefuseWork(link.address);
-        link.enter(CompanionLink.State.CLOSED, nowMicros);
+        markTargetsUnavailable(link.address);
+        link.enterState(CompanionLink.State.CLOSED, nowMicros);
         link.failures++;
         if (wasOpen) {
-            listener.linkBroke(link.address, nowMicros);
+            listener.onLinkLost(link.address, nowMicros);
         } else {
-            listener.linkFailed(link.address, nowMicros);
+            listener.onLinkFailed(link.address, nowMicros);
         }
         if (wasOpen && link.failures == 1) {
             open(link, nowMicros);
@@ -269,15 +268,15 @@
         link.nextOpenMicros = nowMicros + backoffMicros(link.failures);
     }
 
-    /** Jittered, so that the entries don't all come back to a restarted companion in the same moment. */
+    /** Returns an exponential back-off with jitter, so that entries don't all reconnect to a companion at once. */
     private long backoffMicros(int failures) {
         int doublings = Math.min(failures - 1, Long.SIZE / 4);
-        long longest = Math.min(LONGEST_BACKOFF_MICROS, FIRST_BACKOFF_MICROS << doublings);
-        return longest / 2 + random.nextLong(longest / 2 + 1);
+        long max = Math.min(MAX_BACKOFF_MICROS, INITIAL_BACKOFF_MICROS << doublings);
+        return max / 2 + random.nextLong(max / 2 + 1);
     }
 
-    private void targetsRefuseWork(Address companion) {
-        services.targetsBehind(companion).forEach(RoutableTarget::markUnavailable);
+    private void markTargetsUnavailable(Address companion) {
+        services.targetsOf(companion).forEach(RoutableTarget::markUnavailable);
     }
 
     private static Optional<Frame.TargetState> reportOf(Frame.Heartbeat heartbeat, RoutableTarget target) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/OperatorQueries.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/OperatorQueries.java
@@ -16,7 +16,7 @@
 import org.rattanrudder.core.routing.RoutingPolicy;
 import org.rattanrudder.core.routing.RoutingQuery;
 
-/** Answers what operators ask about the state of the system as this entry sees it. */
+/** Answers operators' queries from this entry's view of the system. */
 final class OperatorQueries {
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -42,7 +42,7 @@
             return;
         }
         ServedService found = service.get();
-        reply(handle, new OperatorReply.Shown(call.service(), found.revision(), found.text()));
+        reply(handle, new OperatorReply.Shown(call.service(), found.revision(), found.documentText()));
     }
 
     void status(long handle, Iterable<CompanionLink> links, boolean logReachable, long nowMicros) {
@@ -61,14 +61,14 @@
     }
 
     private static OperatorReply.CompanionStatus companionStatus(CompanionLink link, long nowMicros) {
-        boolean heard = link.heartbeatMicros != CompanionLink.NEVER;
-        long age = heard ? nowMicros - link.heartbeatMicros : CompanionLink.NEVER;
+        boolean hasHeartbeat = link.heartbeatMicros != CompanionLink.NEVER;
+        long age = hasHeartbeat ? nowMicros - link.heartbeatMicros : CompanionLink.NEVER;
         return new OperatorReply.CompanionStatus(
                 link.address.toString(),
                 link.hello == null ? "" : link.hello.instance().value(),
                 link.hello == null ? "" : link.hello.failureDomain(),
-                link.isOpen() && heard && age < RoutableTarget.MAX_REPORT_AGE_MICROS,
-                heard ? age / MICROS_PER_MILLI : -1,
+                link.isOpen() && hasHeartbeat && age < RoutableTarget.MAX_REPORT_AGE_MICROS,
+                hasHeartbeat ? age / MICROS_PER_MILLI : -1,
                 link.targets(),
                 link.revisions());
     }
@@ -106,7 +106,7 @@
                 : new RoutingQuery(
                         terms.affinity(), terms.affinityKey(), terms.contextTokens(), service.costs(), Set.of());
         Optional<Route> chosen = policy.choose(query, service.pool(), nowMicros);
-        List<OperatorReply.Candidate> weighed = new ArrayList<>();
+        List<OperatorReply.Candidate> candidates = new ArrayList<>();
         for (RoutableTarget target : service.pool().targets()) {
             boolean isChosen = chosen.filter(route -> route.target() == target).isPresent();
             long wait = target.waitMicros(service.pool().serviceMicros(), nowMicros);
@@ -114,15 +114,15 @@
                     ? chosen.get().contextMicros()
                     : target.missingContextMicros(query.contextTokens(), query.costs());
             String note = isChosen ? "chosen" : target.eligibility(nowMicros);
-            weighed.add(new OperatorReply.Candidate(target.name().value(), wait + context, wait, context, note));
+            candidates.add(new OperatorReply.Candidate(target.name().value(), wait + context, wait, context, note));
         }
-        weighed.sort(Comparator.comparing((OperatorReply.Candidate each) -> rank(each.note()))
+        candidates.sort(Comparator.comparing((OperatorReply.Candidate each) -> rank(each.note()))
                 .thenComparingLong(OperatorReply.Candidate::estimateMicros));
         return new OperatorReply.Explanation(
                 call.service(),
                 chosen.map(route -> route.target().name().value()).orElse(""),
                 chosen.map(Route::reason).orElse("no target accepts work"),
-                weighed);
+                candidates);
     }
 
     private static int rank(String note) {
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/OperatorReply.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/OperatorReply.java
@@ -5,38 +5,38 @@
 import org.rattanrudder.core.model.Refusal;
 import org.rattanrudder.core.model.ServiceName;
 
-/** An answer to an operator. */
+/** A reply to an operator. */
 public sealed interface OperatorReply {
     /**
-     * The document is accepted.
+     * The document was accepted.
      *
      * @param service the service
-     * @param revision its revision
+     * @param revision the document's revision
      */
     record Published(ServiceName service, long revision) implements OperatorReply {}
 
     /**
-     * It could not be done.
+     * The call was refused.
      *
-     * @param refusal why; for a conflict the detail names the revision in force
+     * @param refusal the reason; for a conflict its detail contains the revision in force
      */
     record Refused(Refusal refusal) implements OperatorReply {}
 
     /**
-     * A document in force.
+     * A document that is in force.
      *
      * @param service the service
-     * @param revision its revision
+     * @param revision the document's revision
      * @param text the text as published
      */
     record Shown(ServiceName service, long revision, String text) implements OperatorReply {}
 
     /**
-     * The state of the system as one entry sees it.
+     * One entry's view of the state of the system.
      *
-     * @param instance the entry's name
-     * @param failureDomain where it stands
-     * @param logReachable whether the log answered lately
+     * @param instance the entry's instance name
+     * @param failureDomain the entry's failure domain
+     * @param logReachable whether the last read of the log succeeded
      * @param services each service with its revision
      * @param companions each companion
      */
@@ -49,15 +49,15 @@
             implements OperatorReply {}
 
     /**
-     * One companion as an entry sees it.
+     * An entry's view of one companion.
      *
-     * @param address its address
-     * @param instance its name; empty if it was never heard of
-     * @param failureDomain where it stands
-     * @param connected whether it was heard of lately
-     * @param heartbeatAgeMillis how long ago it was heard of; -1 for never
-     * @param targets its targets
-     * @param revisions the revisions in force there
+     * @param address the companion's address
+     * @param instance the companion's instance name; empty if no hello was ever received
+     * @param failureDomain the companion's failure domain; empty if no hello was ever received
+     * @param connected whether the link is open and the last heartbeat is fresh
+     * @param heartbeatAgeMillis age of the last heartbeat; -1 if there was none
+     * @param targets the targets in its last heartbeat
+     * @param revisions the revisions in force at the companion by its last heartbeat
      */
     record CompanionStatus(
             String address,
@@ -69,24 +69,24 @@
             List<Frame.ServiceRevision> revisions) {}
 
     /**
-     * Where a request would go.
+     * The routing decision for a request.
      *
      * @param service the service
-     * @param chosen the target's name; empty if it would be refused
-     * @param reason one line
-     * @param weighed every target that was weighed, best first
+     * @param chosen the chosen target's name; empty if the request would be refused
+     * @param reason the reason as one line
+     * @param weighed the candidates, best first
      */
     record Explanation(ServiceName service, String chosen, String reason, List<Candidate> weighed)
             implements OperatorReply {}
 
     /**
-     * One target as it was weighed.
+     * One candidate of a routing decision.
      *
-     * @param target its name
+     * @param target the target's name
      * @param estimateMicros the estimated time to the first token
-     * @param waitMicros of this, the wait
-     * @param contextMicros of this, fetching or computing context
-     * @param note why it was taken, passed over or not eligible
+     * @param waitMicros the part of the estimate for waiting
+     * @param contextMicros the part of the estimate for computing or fetching context
+     * @param note whether the target was chosen or is eligible, or why it is not eligible
      */
     record Candidate(String target, long estimateMicros, long waitMicros, long contextMicros, String note) {}
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Outbox.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Outbox.java
@@ -5,7 +5,7 @@
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.model.Address;
 
-/** Where the parts of the machine put their effects; bound to the caller's consumer for the time of one event. */
+/** Passes the effects of the entry's components to the consumer of the current event. */
 final class Outbox {
     private Consumer<? super EntryEffect> effects = effect -> {};
 
@@ -21,7 +21,7 @@
         emit(new EntryEffect.SendFrame(companion, frame));
     }
 
-    void note(String event, String... fields) {
+    void logEvent(String event, String... fields) {
         emit(new EntryEffect.LogEvent(event, List.of(fields)));
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/PromptQuarantine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/PromptQuarantine.java
@@ -13,16 +13,16 @@
 import org.rattanrudder.core.quarantine.TargetCrash;
 
 /**
- * Keeps a prompt that ends each engine which runs it from further engines.
+ * Quarantines prompts that crash the engines which run them, so that they are sent to no further engine.
  *
- * <p>A companion asks an engine whose answer broke off to go on with it, and says that it failed only if that is of no
- * use either. Each entry counts what it saw itself.
+ * <p>When an engine aborts an answer, the companion first asks it to resume the answer, and reports a failure only if
+ * that fails too. Each entry counts the crashes that were reported to it.
  */
 final class PromptQuarantine {
     private final Quarantine quarantine = new Quarantine();
     private long crashes;
 
-    /** Returns why a request is refused; empty if it may be sent. */
+    /** Returns the refusal of a quarantined request; empty if the request may be sent. */
     Optional<Refusal> refusal(Admission.Terms terms, CallerRequest request, long nowMicros) {
         if (!isPrompt(terms) || quarantine.isEmpty()) {
             return Optional.empty();
@@ -34,15 +34,15 @@
                         ErrorKind.REQUEST_QUARANTINED, left.getAsLong(), "engines ended while they ran this prompt"));
     }
 
-    /** Notes that an attempt failed; returns whether its prompt may be sent to no further engine. */
-    boolean failed(InFlight inFlight, ErrorKind kind, long nowMicros) {
+    /** Records a failed attempt and returns whether its prompt is quarantined. */
+    boolean onFailed(InFlightRequest inFlight, ErrorKind kind, long nowMicros) {
         boolean ended = kind == ErrorKind.TARGET_FAILED;
         if (!isPrompt(inFlight.terms) || !ended && quarantine.isEmpty()) {
             return false;
         }
         RequestFingerprint prompt = fingerprint(inFlight.terms, inFlight.request);
         if (ended) {
-            // Which start of the engine it was isn't known: each attempt counts as one.
+            // It isn't known which start of the engine crashed, so each failed attempt counts as a crash of its own.
             crashes++;
             TargetCrash crash = new TargetCrash(inFlight.route.target().name().value(), crashes, Set.of(prompt));
             quarantine.onCrash(crash, true, millis(nowMicros));
@@ -50,14 +50,14 @@
         return quarantine.remainingMillis(prompt, millis(nowMicros)).isPresent();
     }
 
-    /** Notes a whole answer. */
-    void answered(InFlight inFlight, long nowMicros) {
+    /** Records a complete answer. */
+    void onAnswered(InFlightRequest inFlight, long nowMicros) {
         if (isPrompt(inFlight.terms)) {
             quarantine.onAnswered(fingerprint(inFlight.terms, inFlight.request), millis(nowMicros));
         }
     }
 
-    /** Lets go what was held for long enough. */
+    /** Releases prompts whose quarantine has expired. */
     void tick(long nowMicros) {
         quarantine.expire(millis(nowMicros));
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Publisher.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Publisher.java
@@ -12,14 +12,14 @@
 import org.rattanrudder.core.model.ServiceName;
 
 /**
- * Publishes operators' edits and tells each operator what became of it, by reading it back from the log.
+ * Publishes operators' edits and replies with the outcome once the edit is read back from the log.
  *
- * <p>An edit is said to be not run only when that is sure: it was never sent, or another edit is in force by now, so
- * that no late copy can hold.
+ * <p>An edit is reported as not run only if it was never sent, or if another edit is in force, so that a late copy
+ * can't be accepted.
  */
 final class Publisher {
-    /** How long an edit may take to be read back, in microseconds. */
-    static final long READ_BACK_MICROS = 10_000_000;
+    /** Time in microseconds within which an edit must be read back from the log. */
+    static final long READ_BACK_TIMEOUT_MICROS = 10_000_000;
 
     private static final long BEHIND_RETRY_MILLIS = 1_000;
 
@@ -28,7 +28,7 @@
     private final Configuration configuration;
     private final LogWriter log;
     private final Outbox outbox;
-    private final List<Pending> pending = new ArrayList<>();
+    private final List<PendingEdit> pending = new ArrayList<>();
 
     Publisher(long writer, DocumentReader reader, Configuration configuration, LogWriter log, Outbox outbox) {
         this.writer = writer;
@@ -38,33 +38,33 @@
         this.outbox = outbox;
     }
 
-    private record Pending(long handle, LogEntry.DocumentEdit edit, long sinceMicros) {}
+    private record PendingEdit(long handle, LogEntry.DocumentEdit edit, long sinceMicros) {}
 
     void publish(long handle, OperatorCall.Publish call, long nowMicros) {
-        Optional<Refusal> refusal = fault(call)
+        Optional<Refusal> refusal = invalidDocument(call)
                 .or(() -> conflict(call.service(), call.baseRevision()))
-                .or(() -> behind(call));
+                .or(() -> logBehind(call));
         if (refusal.isPresent()) {
             refuse(handle, refusal.get());
             return;
         }
         LogEntry.DocumentEdit edit = new LogEntry.DocumentEdit(call.service(), call.baseRevision(), call.text());
         if (log.offer(edit, nowMicros) == LogWriter.OfferResult.QUEUED) {
-            pending.add(new Pending(handle, edit, nowMicros));
+            pending.add(new PendingEdit(handle, edit, nowMicros));
         } else {
             refuse(handle, logUnavailable(nowMicros));
         }
     }
 
-    /** Looks for own edits among those that the log's order has decided. */
-    void readBack(List<EditDecision> decisions) {
+    /** Replies to the edits of this entry for which the log's order has brought a decision. */
+    void onDecisions(List<EditDecision> decisions) {
         for (EditDecision decision : decisions) {
             if (decision.writer() == writer) {
-                firstOf(decision.edit()).ifPresent(own -> answer(own, decision));
+                findPending(decision.edit()).ifPresent(own -> answer(own, decision));
             }
         }
-        // Another operator's edit came first: no copy of ours can hold any more, wherever it is.
-        for (Pending each : List.copyOf(pending)) {
+        // Another operator's edit came first, so that no copy of ours, wherever it is, can still be accepted.
+        for (PendingEdit each : List.copyOf(pending)) {
             Optional<Refusal> lost = conflict(each.edit().service(), each.edit().baseRevision());
             if (lost.isPresent()) {
                 log.retract(each.edit());
@@ -74,18 +74,18 @@
         }
     }
 
-    /** Gives up waiting as soon as the log is known to be down, or when it takes too long. */
+    /** Stops waiting for edits when the log is known to be down or the read-back timeout has expired. */
     void tick(long nowMicros) {
-        boolean down = !log.isAvailable(nowMicros) || !configuration.followsLog();
-        for (Pending each : List.copyOf(pending)) {
-            if (!down && nowMicros - each.sinceMicros() < READ_BACK_MICROS) {
+        boolean down = !log.isAvailable(nowMicros) || !configuration.isFollowingLog();
+        for (PendingEdit each : List.copyOf(pending)) {
+            if (!down && nowMicros - each.sinceMicros() < READ_BACK_TIMEOUT_MICROS) {
                 continue;
             }
             pending.remove(each);
-            // Failure: an append whose answer was lost takes effect after the operator was told it never would. Only an
-            // edit that no append has carried is not run; of any other the outcome is unknown.
+            // An append whose answer was lost could still take effect after the operator was told that the edit didn't
+            // run. So only an edit that was in no append is reported as not run; otherwise the outcome is unknown.
             boolean neverSent = log.retract(each.edit());
-            refuse(each.handle(), neverSent ? logUnavailable(nowMicros) : unknown());
+            refuse(each.handle(), neverSent ? logUnavailable(nowMicros) : outcomeUnknown());
         }
     }
 
@@ -93,22 +93,22 @@
         return pending.isEmpty();
     }
 
-    private Optional<Pending> firstOf(LogEntry.DocumentEdit edit) {
+    private Optional<PendingEdit> findPending(LogEntry.DocumentEdit edit) {
         return pending.stream().filter(each -> each.edit().equals(edit)).findFirst();
     }
 
-    private void answer(Pending own, EditDecision decision) {
+    private void answer(PendingEdit own, EditDecision decision) {
         pending.remove(own);
         switch (decision.verdict()) {
             case ACCEPTED ->
                 outbox.emit(new EntryEffect.ReplyToOperator(
                         own.handle(), new OperatorReply.Published(decision.service(), decision.offset())));
             case VOID -> refuse(own.handle(), conflictAt(decision.service()));
-            default -> refuse(own.handle(), unknown());
+            default -> refuse(own.handle(), outcomeUnknown());
         }
     }
 
-    private Optional<Refusal> fault(OperatorCall.Publish call) {
+    private Optional<Refusal> invalidDocument(OperatorCall.Publish call) {
         DocumentReader.Reading reading = reader.read(call.text());
         if (reading instanceof DocumentReader.Invalid invalid) {
             return Optional.of(new Refusal(ErrorKind.INVALID_DOCUMENT, 0, invalid.reason()));
@@ -121,7 +121,7 @@
         return Optional.of(new Refusal(ErrorKind.INVALID_DOCUMENT, 0, detail));
     }
 
-    /** Returns a refusal if another revision than the base is known to be in force. */
+    /** Returns a refusal if a revision other than the base is known to be in force. */
     private Optional<Refusal> conflict(ServiceName service, long baseRevision) {
         long revision = configuration.ledger().revision(service);
         boolean known = baseRevision <= configuration.ledger().lastOffset();
@@ -135,12 +135,12 @@
         return new Refusal(ErrorKind.REVISION_CONFLICT, 0, detail);
     }
 
-    /** Returns a refusal if this entry can't decide edits now. */
-    private Optional<Refusal> behind(OperatorCall.Publish call) {
-        // Failure: an edit from a revision that this entry hasn't read yet is appended before it and read back as void,
-        // and a copy of it, sent again since the answer was lost, lands behind that revision and holds after all.
+    /** Returns a refusal if this entry can't currently decide on edits. */
+    private Optional<Refusal> logBehind(OperatorCall.Publish call) {
+        // If the base revision isn't read yet, the edit could be appended before it and be read back as void, while a
+        // copy that is resent because the answer was lost is appended after it and is accepted after all.
         boolean baseRead = call.baseRevision() <= configuration.ledger().lastOffset();
-        return configuration.followsLog() && baseRead
+        return configuration.isFollowingLog() && baseRead
                 ? Optional.empty()
                 : Optional.of(new Refusal(
                         ErrorKind.LOG_UNAVAILABLE, BEHIND_RETRY_MILLIS, "this entry can't follow the log now"));
@@ -151,7 +151,7 @@
                 ErrorKind.LOG_UNAVAILABLE, log.retryAfterMillis(nowMicros), "the platform's log takes no records now");
     }
 
-    private static Refusal unknown() {
+    private static Refusal outcomeUnknown() {
         return new Refusal(
                 ErrorKind.OUTCOME_UNKNOWN,
                 0,
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/Endings.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/RequestCompleter.java
@@ -7,19 +7,19 @@
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.Refusal;
 
-/** Gives each request its one final answer and accounts for it. */
-final class Endings {
+/** Completes each request with exactly one final answer and records its summary. */
+final class RequestCompleter {
     private static final int CLIENT_CLOSED_STATUS = ErrorKind.CANCELLED.status();
 
     private final long entryIncarnation;
-    private final Requests requests;
+    private final InFlightRequests requests;
     private final ServiceTable services;
     private final Outbox outbox;
     private final PromptQuarantine quarantine;
 
-    Endings(
+    RequestCompleter(
             long entryIncarnation,
-            Requests requests,
+            InFlightRequests requests,
             ServiceTable services,
             Outbox outbox,
             PromptQuarantine quarantine) {
@@ -34,33 +34,33 @@
         return entryIncarnation;
     }
 
-    /** The answer is whole. */
-    void answered(InFlight inFlight, long nowMicros) {
-        quarantine.answered(inFlight, nowMicros);
+    /** Completes a request whose answer is complete. */
+    void onAnswered(InFlightRequest inFlight, long nowMicros) {
+        quarantine.onAnswered(inFlight, nowMicros);
         outbox.emit(new EntryEffect.EndAnswer(inFlight.sequence));
-        inFlight.service().returns().answered(nowMicros);
+        inFlight.service().retryAfterScheduler().onAnswered(nowMicros);
         inFlight.service().pool().recordServiceTime(nowMicros - inFlight.arrivedMicros - inFlight.usage.queuedMicros());
         finish(inFlight, Optional.empty(), inFlight.status, nowMicros);
     }
 
-    /** The request ends with an error, at once and only with what is true of it. */
-    void refuse(InFlight inFlight, Refusal refusal, long nowMicros) {
-        Refusal truthful = Attempts.truthful(refusal, inFlight.mayHaveRun);
-        Refusal timed = withReturn(inFlight.service(), truthful, nowMicros);
+    /** Completes a request with an error, which claims no more than is known about earlier attempts. */
+    void refuse(InFlightRequest inFlight, Refusal refusal, long nowMicros) {
+        Refusal truthful = RequestDispatcher.withProvableRunState(refusal, inFlight.mayHaveRun);
+        Refusal timed = withRetryAfter(inFlight.service(), truthful, nowMicros);
         outbox.emit(new EntryEffect.Refuse(inFlight.sequence, timed));
-        int status = inFlight.begun ? inFlight.status : timed.kind().status();
+        int status = inFlight.answerStarted ? inFlight.status : timed.kind().status();
         finish(inFlight, Optional.of(timed.kind()), status, nowMicros);
     }
 
-    /** The caller went away; nobody hears an answer. */
-    void cancelled(InFlight inFlight, long nowMicros) {
+    /** Completes a request whose caller has disconnected, without an answer. */
+    void onCancelled(InFlightRequest inFlight, long nowMicros) {
         finish(inFlight, Optional.of(ErrorKind.CANCELLED), CLIENT_CLOSED_STATUS, nowMicros);
     }
 
-    /** A request is refused before it was admitted. */
+    /** Refuses a request that was not admitted. */
     void refuseUnadmitted(long sequence, CallerRequest request, Admission.Refused refused, long nowMicros) {
         Refusal refusal = services.service(request.service())
-                .map(service -> withReturn(service, refused.refusal(), nowMicros))
+                .map(service -> withRetryAfter(service, refused.refusal(), nowMicros))
                 .orElse(refused.refusal());
         outbox.emit(new EntryEffect.Refuse(sequence, refusal));
         RequestSummary summary = new RequestSummary(
@@ -80,16 +80,16 @@
         outbox.emit(new EntryEffect.RequestEnded(summary, objective));
     }
 
-    private static Refusal withReturn(ServedService service, Refusal refusal, long nowMicros) {
+    private static Refusal withRetryAfter(ServedService service, Refusal refusal, long nowMicros) {
         boolean hasOwnTime = refusal.kind() == ErrorKind.REQUEST_QUARANTINED;
         if (hasOwnTime || refusal.kind().retryAdvice() != ErrorKind.RetryAdvice.LATER) {
             return refusal;
         }
-        long after = service.returns().retryAfterMillis(refusal.retryAfterMillis(), nowMicros);
+        long after = service.retryAfterScheduler().retryAfterMillis(refusal.retryAfterMillis(), nowMicros);
         return new Refusal(refusal.kind(), after, refusal.detail());
     }
 
-    private void finish(InFlight inFlight, Optional<ErrorKind> error, int status, long nowMicros) {
+    private void finish(InFlightRequest inFlight, Optional<ErrorKind> error, int status, long nowMicros) {
         requests.remove(inFlight);
         RequestSummary summary = new RequestSummary(
                 requestId(inFlight.sequence),
@@ -97,7 +97,7 @@
                 inFlight.customer().name().value(),
                 inFlight.requestClass().name(),
                 inFlight.route == null ? "" : inFlight.route.target().name().value(),
-                inFlight.attempts,
+                inFlight.attemptCount,
                 inFlight.firstByteMicros < 0 ? -1 : inFlight.firstByteMicros - inFlight.arrivedMicros,
                 nowMicros - inFlight.arrivedMicros,
                 error,
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/RetryBudget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/RetryBudget.java
@@ -1,30 +1,31 @@
 package org.rattanrudder.core.entry;
 
 /**
- * Bounds the retries of a service to a share of its first attempts, so that trouble doesn't multiply its own load.
+ * Limits the retries of a service to a share of its first attempts, so that retries don't amplify an overload.
  *
- * <p>Without it, targets that are slow for a moment are asked again for what they still work on, slow down further and
- * never recover. Saved-up retries let the loss of a failure domain be made good at once.
+ * <p>Without a limit, requests that a temporarily slow target is still working on would be retried, which slows it down
+ * further until it can't recover. Unused retries are saved up so that the loss of a failure domain can be compensated
+ * at once.
  */
 final class RetryBudget {
-    /** Retries that may be made before any first attempt was. */
-    static final double RESERVE = 20;
+    /** Number of retries that are available at the start, before any first attempt. */
+    static final double INITIAL_RETRIES = 20;
 
-    /** The most retries that can be saved up. */
-    static final double CEILING = 500;
+    /** Maximum number of retries that can be saved up. */
+    static final double MAX_SAVED_RETRIES = 500;
 
-    private double balance = RESERVE;
+    private double balance = INITIAL_RETRIES;
 
     /**
-     * Notes a first attempt.
+     * Records a first attempt.
      *
-     * @param share how many retries it earns, such as 0.1
+     * @param share number of retries that it earns, such as 0.1
      */
-    void firstAttempt(double share) {
-        balance = Math.min(CEILING, balance + share);
+    void recordFirstAttempt(double share) {
+        balance = Math.min(MAX_SAVED_RETRIES, balance + share);
     }
 
-    /** Takes one retry from the budget; false if there is none. */
+    /** Takes one retry from the budget; returns false if none is left. */
     boolean tryRetry() {
         if (balance < 1) {
             return false;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/ServedService.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/ServedService.java
@@ -15,55 +15,55 @@
 import org.rattanrudder.core.routing.RoutableTarget;
 import org.rattanrudder.core.routing.TargetPool;
 
-/** A service with its document in force and what the entry keeps about it from request to request. */
+/** A service with its document in force and its state that outlives single requests. */
 final class ServedService {
-    /** How many versions before the one in force may still be served while a change rolls out. */
-    private static final int EARLIER_VERSIONS = 4;
+    /** Maximum number of earlier weight versions that may still be served while a change rolls out. */
+    private static final int MAX_EARLIER_VERSIONS = 4;
 
     private final Set<String> earlierVersions = new LinkedHashSet<>();
     private final RetryBudget retries = new RetryBudget();
     private final CustomerLimits limits = new CustomerLimits();
-    private final ReturnSchedule returns;
+    private final RetryAfterScheduler retryAfterScheduler;
     private final Map<Digest, CustomerSettings> customers = new HashMap<>();
     private ServiceDocument document;
     private long revision;
-    private String text;
+    private String documentText;
     private TargetPool pool;
     private ContextCosts costs;
 
     ServedService(ServiceDocument document, long revision, String text, RandomGenerator random) {
-        this.returns = new ReturnSchedule(random);
+        this.retryAfterScheduler = new RetryAfterScheduler(random);
         this.pool = new TargetPool(document.targets());
-        take(document, revision, text);
+        apply(document, revision, text);
     }
 
-    /** Puts a newer document into force. Requests under way keep the one they were admitted under. */
-    void change(ServiceDocument newer, long newerRevision, String newerText) {
+    /** Applies a newer document. Requests in flight keep the document under which they were admitted. */
+    void update(ServiceDocument newer, long newerRevision, String newerText) {
         pool = pool.withSettings(newer.targets());
-        rememberVersion(newer);
-        take(newer, newerRevision, newerText);
+        recordEarlierVersion(newer);
+        apply(newer, newerRevision, newerText);
     }
 
-    private void take(ServiceDocument newer, long newerRevision, String newerText) {
+    private void apply(ServiceDocument newer, long newerRevision, String newerText) {
         document = newer;
         revision = newerRevision;
-        text = newerText;
+        documentText = newerText;
         customers.clear();
         for (CustomerSettings customer : newer.customers()) {
             customer.credentials().forEach(credential -> customers.put(credential, customer));
         }
-        long slowestLink = newer.stores().stream()
+        long fastestLink = newer.stores().stream()
                 .mapToLong(StoreSettings::linkBytesPerSecond)
                 .max()
                 .orElse(0);
         costs = new ContextCosts(
-                newer.cache().prefillTokensPerSecond(), newer.cache().bytesPerToken(), slowestLink);
+                newer.cache().prefillTokensPerSecond(), newer.cache().bytesPerToken(), fastestLink);
     }
 
-    private void rememberVersion(ServiceDocument newer) {
+    private void recordEarlierVersion(ServiceDocument newer) {
         earlierVersions.add(weightVersion());
         earlierVersions.remove(newer.model().map(ModelSettings::version).orElse(""));
-        if (earlierVersions.size() > EARLIER_VERSIONS) {
+        if (earlierVersions.size() > MAX_EARLIER_VERSIONS) {
             earlierVersions.remove(earlierVersions.iterator().next());
         }
     }
@@ -76,8 +76,8 @@
         return revision;
     }
 
-    String text() {
-        return text;
+    String documentText() {
+        return documentText;
     }
 
     TargetPool pool() {
@@ -96,28 +96,28 @@
         return limits;
     }
 
-    ReturnSchedule returns() {
-        return returns;
+    RetryAfterScheduler retryAfterScheduler() {
+        return retryAfterScheduler;
     }
 
     Optional<CustomerSettings> customer(Digest credential) {
         return Optional.ofNullable(customers.get(credential));
     }
 
-    /** Returns the weight version that the document asks for; empty for plain services. */
+    /** Returns the weight version in the document; empty for plain services. */
     String weightVersion() {
         return document.model().map(ModelSettings::version).orElse("");
     }
 
     /**
-     * Returns the weight version that an attempt at this target is for.
+     * Returns the weight version to request in an attempt at this target.
      *
-     * <p>Failure: a document with a new version comes into force, and every prompt is refused as version_changed until
-     * the first engine has loaded it, since all still serve the version before. An engine that reports a version which
-     * an earlier document asked for is therefore sent work for that one; block names begin with it, so no context
-     * crosses. A version that no document asked for is never sent work.
+     * <p>If attempts requested only the version of the newest document, every prompt would be refused as
+     * version_changed until the first engine has loaded that version. An engine that reports the version of an earlier
+     * document is therefore sent work for that version. Block names begin with the version, so that contexts of
+     * different versions don't mix. An engine whose version was in no document gets no work.
      */
-    String versionAt(RoutableTarget target) {
+    String versionFor(RoutableTarget target) {
         String reported = target.weightVersion();
         return earlierVersions.contains(reported) ? reported : weightVersion();
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/ServiceTable.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/ServiceTable.java
@@ -20,20 +20,20 @@
 final class ServiceTable {
     private final RandomGenerator random;
     private final Map<String, ServedService> services = new TreeMap<>();
-    /** So that a heartbeat costs what its companion holds, not what all documents name. */
-    private final Map<Address, List<RoutableTarget>> behind = new HashMap<>();
+    /** Targets by companion, so that the cost of a heartbeat doesn't grow with the targets of other companions. */
+    private final Map<Address, List<RoutableTarget>> targetsByCompanion = new HashMap<>();
 
     ServiceTable(RandomGenerator random) {
         this.random = random;
     }
 
-    /** Puts a document into force. */
+    /** Applies a document. */
     void put(ServiceDocument document, long revision, String text) {
-        ServedService known = services.get(document.service().value());
-        if (known == null) {
+        ServedService existing = services.get(document.service().value());
+        if (existing == null) {
             services.put(document.service().value(), new ServedService(document, revision, text, random));
         } else {
-            known.change(document, revision, text);
+            existing.update(document, revision, text);
         }
         indexTargets();
     }
@@ -59,7 +59,7 @@
         return revisions;
     }
 
-    /** Returns the addresses of all companions that the documents name. */
+    /** Returns the addresses of all companions in the documents. */
     Set<Address> companions() {
         Set<Address> companions = new LinkedHashSet<>();
         for (ServedService service : services.values()) {
@@ -70,16 +70,17 @@
         return companions;
     }
 
-    /** Returns the targets that the documents put behind this companion. */
-    List<RoutableTarget> targetsBehind(Address companion) {
-        return behind.getOrDefault(companion, List.of());
+    /** Returns the targets of this companion in the documents. */
+    List<RoutableTarget> targetsOf(Address companion) {
+        return targetsByCompanion.getOrDefault(companion, List.of());
     }
 
     private void indexTargets() {
-        behind.clear();
+        targetsByCompanion.clear();
         for (ServedService service : services.values()) {
             for (RoutableTarget target : service.pool().targets()) {
-                behind.computeIfAbsent(target.companion(), address -> new ArrayList<>())
+                targetsByCompanion
+                        .computeIfAbsent(target.companion(), address -> new ArrayList<>())
                         .add(target);
             }
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The decisions of an entry: who may call, where a request runs, and what its caller hears.
+ * The state machine of an entry: admission of requests, their dispatch to targets and the answers to callers.
  *
  * <p>Front class: {@link org.rattanrudder.core.entry.EntryMachine}.
  */
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/AnswerRelayTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/AnswerRelayTest.java
@@ -1,7 +1,7 @@
 package org.rattanrudder.core.entry;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.rattanrudder.core.entry.Documents.target;
+import static org.rattanrudder.core.entry.TestDocuments.target;
 
 import java.util.List;
 import net.jqwik.api.ForAll;
@@ -12,69 +12,68 @@
 import org.rattanrudder.core.model.AttemptId;
 
 class AnswerRelayTest {
-    private final EntryDriver driver = EntryDriver.ready(Documents.prompts(target(1)));
+    private final EntryDriver driver = EntryDriver.ready(TestDocuments.prompts(target(1)));
     private final long request = driver.prompt("dossier");
     private final Frame.Dispatch dispatch = driver.lastDispatch();
 
-    /**
-     * A verdict reads "not not stable": the link broke after a chunk, and the companion sent it again on the new one.
-     */
+    /** A word appears twice in an answer: the link was lost after a chunk, and the companion resent the chunk. */
     @Test
-    void aChunkThatComesTwiceReachesTheCallerOnce() {
+    void aDuplicateChunkIsSentToTheCallerOnce() {
         driver.head(dispatch);
         driver.chunk(dispatch, 0);
         driver.head(dispatch);
         driver.chunk(dispatch, 0);
         driver.chunk(dispatch, 1);
 
-        assertThat(driver.delivered(request)).containsExactly(0, 1);
-        assertThat(driver.all(EntryEffect.BeginAnswer.class)).hasSize(1);
+        assertThat(driver.deliveredChunks(request)).containsExactly(0, 1);
+        assertThat(driver.effectsOf(EntryEffect.BeginAnswer.class)).hasSize(1);
     }
 
-    /** A verdict lacks its "not": a chunk was lost, and the next ones were passed on in its place. */
+    /** A word is missing from an answer: a chunk was lost, and the following ones were forwarded without it. */
     @Test
-    void missingChunksAreAskedForOnceAndNothingPassesThemMeanwhile() {
+    void missingChunksAreRequestedOnceAndLaterChunksAreHeldBack() {
         driver.head(dispatch);
         driver.chunk(dispatch, 0);
         driver.chunk(dispatch, 2);
         driver.chunk(dispatch, 3);
 
-        assertThat(driver.delivered(request)).containsExactly(0);
+        assertThat(driver.deliveredChunks(request)).containsExactly(0);
         assertThat(driver.frames(Frame.Resume.class)).containsExactly(new Frame.Resume(dispatch.attempt(), 100, 1));
     }
 
-    /** A verdict stops after "stable": its end came although the last chunk hadn't. */
+    /** An answer is truncated: its end frame arrived before its last chunk. */
     @Test
-    void anAnswerEndsOnlyWhenAllItsChunksAreThere() {
+    void anAnswerEndsOnlyAfterAllItsChunks() {
         driver.head(dispatch);
         driver.chunk(dispatch, 0);
         driver.end(dispatch, 2);
-        assertThat(driver.all(EntryEffect.EndAnswer.class)).isEmpty();
+        assertThat(driver.effectsOf(EntryEffect.EndAnswer.class)).isEmpty();
 
         driver.chunk(dispatch, 1);
         driver.end(dispatch, 2);
 
-        assertThat(driver.delivered(request)).containsExactly(0, 1);
-        assertThat(driver.all(EntryEffect.EndAnswer.class)).hasSize(1);
+        assertThat(driver.deliveredChunks(request)).containsExactly(0, 1);
+        assertThat(driver.effectsOf(EntryEffect.EndAnswer.class)).hasSize(1);
     }
 
     @Test
-    void chunksThatAreStillMissingAreAskedForAgain() {
+    void chunksThatAreStillMissingAreRequestedAgain() {
         driver.head(dispatch);
         driver.chunk(dispatch, 1);
         driver.end(dispatch, 2);
 
-        driver.pass(Attempts.RESUME_AGAIN_MICROS);
+        driver.advance(RequestDispatcher.RESUME_RETRY_MICROS);
 
         assertThat(driver.frames(Frame.Resume.class)).hasSize(2);
     }
 
     /**
-     * A depot reads another depot's answer: frames of an earlier attempt, of another entry's request with the same
-     * number, or from a companion that doesn't have the attempt arrive late.
+     * A caller gets another caller's answer: late frames of an earlier attempt, of an earlier incarnation's request
+     * with
+     * the same sequence number, or of another request are forwarded.
      */
     @Test
-    void framesOfAnythingButThePresentAttemptAreDropped() {
+    void framesOfOtherAttemptsAreDropped() {
         driver.head(dispatch);
         AttemptId own = dispatch.attempt();
         for (AttemptId other : List.of(
@@ -84,13 +83,13 @@
             driver.frame(1, new Frame.AnswerChunk(other, 0, new byte[] {9}));
         }
 
-        assertThat(driver.delivered(request)).isEmpty();
+        assertThat(driver.deliveredChunks(request)).isEmpty();
     }
 
-    /** The attempt was moved after its first link failed; its first companion, alive after all, names the new one. */
+    /** A companion sends frames with the id of an attempt that was dispatched to another companion. */
     @Test
     void framesFromACompanionThatDoesNotHaveTheAttemptAreDropped() {
-        EntryDriver two = EntryDriver.ready(Documents.prompts(target(1), target(2)));
+        EntryDriver two = EntryDriver.ready(TestDocuments.prompts(target(1), target(2)));
         long moved = two.prompt("dossier");
         two.head(two.lastDispatch());
 
@@ -98,23 +97,23 @@
                 3 - two.lastCompanion(),
                 new Frame.AnswerChunk(two.lastDispatch().attempt(), 0, new byte[] {9}));
 
-        assertThat(two.delivered(moved)).isEmpty();
+        assertThat(two.deliveredChunks(moved)).isEmpty();
     }
 
-    /** A frame that was under way when its link was given up as silent comes out of the daemon's queue late. */
+    /** A frame that was queued in the daemon when its link was closed is delivered afterwards. */
     @Test
-    void framesOfALinkThatWasGivenUpAreDropped() {
+    void framesOfAClosedLinkAreDropped() {
         driver.head(dispatch);
-        driver.close(1);
+        driver.closeLink(1);
 
         driver.chunk(dispatch, 0);
 
-        assertThat(driver.delivered(request)).isEmpty();
+        assertThat(driver.deliveredChunks(request)).isEmpty();
     }
 
-    /** A clerk on a slow line fills the entry's memory: the engine writes faster than the caller reads. */
+    /** A slow caller fills the entry's memory: the engine writes faster than the caller reads. */
     @Test
-    void theCompanionMaySendAsManyChunksAsTheCallerTook() {
+    void writtenChunksAreCreditedToTheCompanion() {
         driver.head(dispatch);
         for (int number = 0; number < 40; number++) {
             driver.chunk(dispatch, number);
@@ -126,26 +125,26 @@
         assertThat(driver.frames(Frame.Credit.class)).containsExactly(new Frame.Credit(dispatch.attempt(), 40));
     }
 
-    /** After each break the companion's window begins anew; credit for chunks before it would let it grow each time. */
+    /** A resume resets the companion's window; credit for earlier chunks would enlarge it with each lost link. */
     @Test
     void chunksFromBeforeAResumeEarnNoCredit() {
         driver.head(dispatch);
         for (int number = 0; number < 40; number++) {
             driver.chunk(dispatch, number);
         }
-        driver.close(1);
-        driver.open(1, 100);
+        driver.closeLink(1);
+        driver.openLink(1, 100);
 
         driver.handle(new EntryEvent.ChunksWritten(request, 40));
 
         assertThat(driver.frames(Frame.Credit.class)).isEmpty();
     }
 
-    /** Differential: whatever is doubled, dropped or crossed on the way, the caller gets a prefix of the answer. */
+    /** Differential test: with chunks duplicated, dropped or reordered, the caller gets a prefix of the answer. */
     @Property(seed = "21", tries = 200)
-    void theCallerAlwaysHasAPrefixOfTheAnswer(
+    void theCallerAlwaysGetsAPrefixOfTheAnswer(
             @ForAll List<@IntRange(max = 12) Integer> arrivals, @ForAll @IntRange(max = 12) int length) {
-        EntryDriver fresh = EntryDriver.ready(Documents.prompts(target(1)));
+        EntryDriver fresh = EntryDriver.ready(TestDocuments.prompts(target(1)));
         long prompt = fresh.prompt("dossier");
         fresh.head(fresh.lastDispatch());
         int naive = 0;
@@ -155,11 +154,11 @@
         }
         fresh.end(fresh.lastDispatch(), length);
 
-        List<Integer> delivered = fresh.delivered(prompt);
+        List<Integer> delivered = fresh.deliveredChunks(prompt);
         assertThat(delivered).hasSize(naive);
         for (int number = 0; number < naive; number++) {
             assertThat(delivered.get(number)).isEqualTo(number);
         }
-        assertThat(fresh.all(EntryEffect.EndAnswer.class)).hasSize(length == naive ? 1 : 0);
+        assertThat(fresh.effectsOf(EntryEffect.EndAnswer.class)).hasSize(length == naive ? 1 : 0);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/CustomerLimitsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/CustomerLimitsTest.java
@@ -20,7 +20,7 @@
     private final CustomerSettings customer =
             new CustomerSettings(new CustomerName("depot-sever"), List.of(), 1, RATE, Set.of());
 
-    /** However demand falls on the entries, together they let pass no more than the rate and what was saved up. */
+    /** However requests are distributed over the entries, together they admit no more than the rate and the bursts. */
     @Property(seed = "71", tries = 100)
     void entriesTogetherKeepTheRateWithoutASharedStore(
             @ForAll @IntRange(min = 1, max = 8) int entries,
@@ -28,41 +28,42 @@
             @ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         int seconds = 20;
-        int[] passed =
-                new RateLimitSimulation(RATE, entries).run(0, seconds, perSecond, parts(entries, random), random);
+        int[] passed = new RateLimitSimulation(RATE, entries)
+                .run(0, seconds, perSecond, randomShares(entries, random), random);
 
         assertThat((double) Arrays.stream(passed).sum())
                 .isLessThanOrEqualTo(RATE * (seconds + 2 * CustomerLimits.BURST_SECONDS));
     }
 
     /**
-     * A depot that keeps to its rate is refused: its one connection ends at one entry, which allows only its even part
-     * while the other entries have no request of it.
+     * A customer within its rate is refused: its only connection is to one entry, which admits just its even share
+     * while
+     * the other entries get no request of this customer.
      */
     @Property(seed = "72", tries = 50)
-    void aCustomerThatKeepsToItsRateIsLetPassWhicheverEntriesItComesThrough(
+    void aCustomerWithinItsRateIsAdmittedByWhicheverEntries(
             @ForAll @IntRange(min = 1, max = 8) int entries, @ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         RateLimitSimulation sharing = new RateLimitSimulation(RATE, entries);
-        double[] parts = parts(entries, random);
+        double[] parts = randomShares(entries, random);
         sharing.run(0, 15, 90, parts, random);
 
         assertThat(Arrays.stream(sharing.run(15, 10, 90, parts, random)).sum()).isGreaterThanOrEqualTo(9 * 95);
     }
 
-    private static double[] parts(int entries, SplittableRandom random) {
-        double[] parts = new double[entries];
+    private static double[] randomShares(int entries, SplittableRandom random) {
+        double[] shares = new double[entries];
         double left = 1;
         for (int entry = 0; entry < entries; entry++) {
-            parts[entry] = entry == entries - 1 ? left : left * random.nextDouble();
-            left -= parts[entry];
+            shares[entry] = entry == entries - 1 ? left : left * random.nextDouble();
+            left -= shares[entry];
         }
-        return parts;
+        return shares;
     }
 
-    /** Without counts of its own requests from any companion, an entry must not borrow: each would borrow the same. */
+    /** Without counts from companions, an entry must not use others' shares, since all would use the same ones. */
     @Test
-    void withoutCountsAnEntryKeepsToItsEvenPart() {
+    void withoutCountsAnEntryKeepsToItsEvenShare() {
         CustomerLimits limits = new CustomerLimits();
         int passed = 0;
         for (int call = 0; call < 1_000; call++) {
@@ -72,7 +73,7 @@
     }
 
     @Test
-    void aRefusedCallerHearsWhenOneMoreIsAllowed() {
+    void theReturnedWaitIsExact() {
         CustomerLimits limits = new CustomerLimits();
         long wait = 0;
         while (wait == 0) {
@@ -82,15 +83,15 @@
         assertThat(limits.admit(customer, 2, 0, SECOND + wait)).isZero();
     }
 
-    /** Each entry takes its part by the number of entries that companions hear. */
+    /** An entry's share of the rate follows from the number of entries that companions report. */
     @Test
-    void anEntryAllowsOnlyItsPartOfTheRate() {
-        EntryDriver driver = EntryDriver.ready(Documents.limited(10, Documents.target(1)));
+    void anEntryAdmitsOnlyItsShareOfTheRate() {
+        EntryDriver driver = EntryDriver.ready(TestDocuments.limited(10, TestDocuments.target(1)));
         driver.heartbeat(1, 100, true, 0, 5);
         int refused = 0;
         for (int call = 0; call < 10; call++) {
             long request = driver.prompt("sheet");
-            refused += driver.all(EntryEffect.Refuse.class).isEmpty() ? 0 : 1;
+            refused += driver.effectsOf(EntryEffect.Refuse.class).isEmpty() ? 0 : 1;
             if (refused == 1) {
                 assertThat(driver.refusal(request)).isEqualTo(ErrorKind.CUSTOMER_OVER_SHARE);
             }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/CustomerUsageTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/CustomerUsageTest.java
@@ -12,8 +12,8 @@
     private static final Address COMPANION = new Address("10.0.0.1", 9000);
     private final CustomerUsage usage = new CustomerUsage();
 
-    private void heard(long incarnation, long taken, long now) {
-        usage.heard(
+    private void receive(long incarnation, long taken, long now) {
+        usage.onHeartbeat(
                 COMPANION,
                 new Frame.Heartbeat(
                         incarnation, 1, List.of(), List.of(), 1, List.of(new Frame.CustomerCount(7, taken))),
@@ -21,20 +21,20 @@
     }
 
     @Test
-    void aHeartbeatThatWasLostLosesNothing() {
-        heard(1, 100, SECOND);
-        heard(1, 400, 4 * SECOND);
+    void aLostHeartbeatLosesNoCounts() {
+        receive(1, 100, SECOND);
+        receive(1, 400, 4 * SECOND);
 
-        assertThat(usage.perSecond(7, 5 * SECOND)).isPositive();
-        assertThat(usage.perSecond(8, 5 * SECOND)).isZero();
+        assertThat(usage.requestsPerSecond(7, 5 * SECOND)).isPositive();
+        assertThat(usage.requestsPerSecond(8, 5 * SECOND)).isZero();
     }
 
-    /** A customer is refused all over after a companion restarts: its new, small count is taken for what came since. */
+    /** A customer is refused by all entries after a companion restart: the new counter is taken as an increase. */
     @Test
-    void theCountsOfARestartedCompanionBeginAnew() {
-        heard(1, 100, SECOND);
-        heard(2, 1_000_000, 2 * SECOND);
+    void theCountsOfARestartedCompanionStartAnew() {
+        receive(1, 100, SECOND);
+        receive(2, 1_000_000, 2 * SECOND);
 
-        assertThat(usage.perSecond(7, 3 * SECOND)).isZero();
+        assertThat(usage.requestsPerSecond(7, 3 * SECOND)).isZero();
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryChaos.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryChaos.java
@@ -16,20 +16,20 @@
 import org.rattanrudder.core.model.TargetName;
 
 /**
- * Drives an entry through a random interleaving of arrivals, answers, refusals, heartbeats, breaks, restarts, drains
- * and doubled, dropped and late frames, all from one seed, and keeps what the companions know to be true.
+ * Drives an entry with a random, seeded sequence of requests, answers, refusals, heartbeats, lost links, restarts,
+ * drains and duplicated, dropped and late frames, and records what the companions did.
  */
 final class EntryChaos {
     static final int COMPANIONS = 4;
-    private static final int TURNS = 400;
+    private static final int STEPS = 400;
     private static final ErrorKind[] REFUSALS = {
         ErrorKind.OVERLOADED, ErrorKind.DRAINING, ErrorKind.VERSION_CHANGED, ErrorKind.TARGET_UNREACHABLE
     };
 
     final EntryDriver driver;
-    /** For each attempt that a companion refused: it never ran. */
+    /** Attempts that a companion refused and that therefore never ran, with the kind of refusal. */
     final Map<AttemptId, ErrorKind> notRun = new HashMap<>();
-    /** What stood against each dispatch that the entry should not have made. */
+    /** Dispatches that the entry should not have made. */
     final List<String> wrongDispatches = new ArrayList<>();
 
     private final SplittableRandom random;
@@ -39,16 +39,20 @@
     private final boolean[] leaving = new boolean[COMPANIONS + 1];
     private final long[] heartbeats = new long[COMPANIONS + 1];
     private final List<Frame.Dispatch> dispatches = new ArrayList<>();
-    private final List<Integer> homes = new ArrayList<>();
+    private final List<Integer> companions = new ArrayList<>();
     private int seenEffects;
 
     EntryChaos(long seed) {
         random = new SplittableRandom(seed);
         driver = new EntryDriver(seed + 1);
-        ServiceDocument prompts = Documents.prompts(
-                Documents.target(1), Documents.target(2), Documents.target(3), Documents.target(4, "depo-juh", true));
+        ServiceDocument prompts = TestDocuments.prompts(
+                TestDocuments.target(1),
+                TestDocuments.target(2),
+                TestDocuments.target(3),
+                TestDocuments.target(4, "depo-juh", true));
         driver.publish(prompts, 0);
-        driver.publish(Documents.plain(Documents.target(1), Documents.target(2), Documents.target(3)), 0);
+        driver.publish(
+                TestDocuments.plain(TestDocuments.target(1), TestDocuments.target(2), TestDocuments.target(3)), 0);
         for (int number = 1; number <= COMPANIONS; number++) {
             incarnations[number] = 100;
             open(number);
@@ -56,13 +60,13 @@
     }
 
     EntryChaos run() {
-        for (int turn = 0; turn < TURNS; turn++) {
+        for (int turn = 0; turn < STEPS; turn++) {
             step();
-            watch();
+            checkNewEffects();
         }
         for (int second = 0; second < 40; second++) {
-            driver.pass(500_000);
-            watch();
+            driver.advance(500_000);
+            checkNewEffects();
         }
         return this;
     }
@@ -71,16 +75,16 @@
         int number = 1 + random.nextInt(COMPANIONS);
         switch (random.nextInt(12)) {
             case 0, 1 -> driver.prompt("sheet-" + random.nextInt(5));
-            case 2 -> driver.entryCall(random.nextBoolean() ? Optional.of("key") : Optional.empty());
+            case 2 -> driver.atMostOnceCall(random.nextBoolean() ? Optional.of("key") : Optional.empty());
             case 3, 4, 5, 6 -> answer();
-            case 7, 8 -> beat(number);
-            case 9 -> trouble(number);
-            case 10 -> driver.pass(random.nextLong(300_000));
+            case 7, 8 -> sendHeartbeat(number);
+            case 9 -> injectFault(number);
+            case 10 -> driver.advance(random.nextLong(300_000));
             default -> open(number);
         }
     }
 
-    private void trouble(int number) {
+    private void injectFault(int number) {
         switch (random.nextInt(5)) {
             case 0 -> close(number);
             case 1 -> {
@@ -97,16 +101,16 @@
     private void open(int number) {
         if (!linked[number]) {
             linked[number] = true;
-            driver.open(number, incarnations[number]);
+            driver.openLink(number, incarnations[number]);
             accepting[number] = true;
-            beat(number);
+            sendHeartbeat(number);
         }
     }
 
     private void close(int number) {
         linked[number] = false;
         heartbeats[number] = Long.MIN_VALUE / 2;
-        driver.close(number);
+        driver.closeLink(number);
     }
 
     private void leave(int number) {
@@ -116,22 +120,22 @@
         }
     }
 
-    private void beat(int number) {
+    private void sendHeartbeat(int number) {
         if (linked[number]) {
             heartbeats[number] = driver.nowMicros();
             driver.heartbeat(number, incarnations[number], accepting[number]);
         }
     }
 
-    /** A frame of any attempt so far, of the present or a former one, in or out of order. */
+    /** Sends a random frame of one of the last attempts, current or not, in or out of order. */
     private void answer() {
         if (dispatches.isEmpty()) {
             return;
         }
         int late = random.nextInt(Math.min(6, dispatches.size()));
         Frame.Dispatch dispatch = dispatches.get(dispatches.size() - 1 - late);
-        int home = homes.get(dispatches.size() - 1 - late);
-        if (!linked[home] || dispatch.companionIncarnation() != incarnations[home]) {
+        int companion = companions.get(dispatches.size() - 1 - late);
+        if (!linked[companion] || dispatch.companionIncarnation() != incarnations[companion]) {
             return;
         }
         AttemptId id = dispatch.attempt();
@@ -144,7 +148,7 @@
             case 6 -> new Frame.AnswerFailed(id, new Refusal(ErrorKind.TARGET_FAILED, 0, "broke off"));
             default -> refuse(id);
         };
-        driver.frame(home, frame);
+        driver.frame(companion, frame);
     }
 
     private Frame refuse(AttemptId id) {
@@ -153,7 +157,7 @@
         return new Frame.NotRun(id, new Refusal(kind, 10, "not now"), 1_000);
     }
 
-    private void watch() {
+    private void checkNewEffects() {
         while (seenEffects < driver.effects.size()) {
             EntryEffect effect = driver.effects.get(seenEffects++);
             if (effect instanceof EntryEffect.CloseLink closed) {
@@ -164,7 +168,7 @@
             if (effect instanceof EntryEffect.SendFrame sent && sent.frame() instanceof Frame.Dispatch dispatch) {
                 int number = number(sent.companion().host());
                 dispatches.add(dispatch);
-                homes.add(number);
+                companions.add(number);
                 check(dispatch, number);
             }
         }
@@ -183,7 +187,7 @@
         return Integer.parseInt(host.substring(host.lastIndexOf('.') + 1));
     }
 
-    /** Returns all effects as text, to compare runs. */
+    /** Returns all effects as text, for comparing runs. */
     List<String> effects() {
         return driver.effects.stream()
                 .map(effect -> effect instanceof EntryEffect.SendChunk chunk
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryDriver.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryDriver.java
@@ -20,11 +20,11 @@
 import org.rattanrudder.core.model.Refusal;
 import org.rattanrudder.core.model.TargetName;
 
-/** Drives an entry's machine by hand: time, events, and what came out of it. */
+/** Drives an entry's state machine in tests: sets the time, sends events and records the effects. */
 final class EntryDriver {
     static final long INCARNATION = 77;
 
-    final Documents documents = new Documents();
+    final TestDocuments documents = new TestDocuments();
     final List<EntryEffect> effects = new ArrayList<>();
     private final EntryMachine machine;
     private long nowMicros = 1_000_000;
@@ -37,15 +37,15 @@
 
     EntryDriver(long seed) {
         EntrySettings settings = new EntrySettings(
-                new InstanceName("entry-1"), INCARNATION, "depo-sever", "0.1", List.of(Documents.companion(1)));
+                new InstanceName("entry-1"), INCARNATION, "depo-sever", "0.1", List.of(TestDocuments.companion(1)));
         machine = new EntryMachine(settings, documents, new SplittableRandom(seed));
     }
 
-    /** Returns a driver whose companions 1 to count are linked, fresh and idle. */
+    /** Returns a driver whose companions are linked, have reported and are idle. */
     static EntryDriver ready(ServiceDocument document) {
         EntryDriver driver = new EntryDriver();
         driver.publish(document, 0);
-        document.targets().forEach(target -> driver.join(number(target.companion()), 100));
+        document.targets().forEach(target -> driver.connectCompanion(number(target.companion()), 100));
         return driver;
     }
 
@@ -69,20 +69,20 @@
         return offset;
     }
 
-    /** The companion says hello and sends its first heartbeat. */
-    void join(int number, long incarnation) {
-        open(number, incarnation);
+    /** Opens a companion's link with its hello and its first heartbeat. */
+    void connectCompanion(int number, long incarnation) {
+        openLink(number, incarnation);
         heartbeat(number, incarnation, true);
     }
 
-    void open(int number, long incarnation) {
+    void openLink(int number, long incarnation) {
         InstanceName name = new InstanceName("companion-" + number);
         handle(new EntryEvent.LinkOpened(
-                Documents.companion(number), new Frame.Hello(name, incarnation, "depo-sever", "0.1")));
+                TestDocuments.companion(number), new Frame.Hello(name, incarnation, "depo-sever", "0.1")));
     }
 
-    void close(int number) {
-        handle(new EntryEvent.LinkClosed(Documents.companion(number)));
+    void closeLink(int number) {
+        handle(new EntryEvent.LinkClosed(TestDocuments.companion(number)));
     }
 
     void heartbeat(int number, long incarnation, boolean accepting) {
@@ -95,7 +95,7 @@
         frame(number, new Frame.Heartbeat(incarnation, 1, List.of(state), List.of(), entries));
     }
 
-    /** The companion reports that its engine serves a weight version. */
+    /** Sends a heartbeat of a companion whose engine serves the weight version. */
     void heartbeat(int number, long incarnation, String weightVersion) {
         Frame.TargetState state =
                 new Frame.TargetState(new TargetName("target-" + number), true, 0, 0, 0, weightVersion, 10_000, 0);
@@ -103,10 +103,10 @@
     }
 
     void frame(int number, Frame frame) {
-        handle(new EntryEvent.FrameArrived(Documents.companion(number), frame));
+        handle(new EntryEvent.FrameArrived(TestDocuments.companion(number), frame));
     }
 
-    void pass(long micros) {
+    void advance(long micros) {
         nowMicros += micros;
         handle(new EntryEvent.Tick());
     }
@@ -115,22 +115,22 @@
         return nowMicros;
     }
 
-    /** A prompt arrives; returns its sequence. */
+    /** Sends a prompt and returns its sequence number. */
     long prompt(String context) {
         PromptShape shape = new PromptShape(2_100, List.of(Digest.of(context)));
-        return arrive("palivo-llm", "POST", "/v1/chat/completions", "audit", shape, Optional.empty());
+        return sendRequest("palivo-llm", "POST", "/v1/chat/completions", "audit", shape, Optional.empty());
     }
 
-    /** A call that may run at most once arrives; returns its sequence. */
-    long entryCall(Optional<String> key) {
-        return arrive("fuel-ledger", "POST", "/entries", "check", PromptShape.NONE, key);
+    /** Sends a call that may run at most once and returns its sequence number. */
+    long atMostOnceCall(Optional<String> key) {
+        return sendRequest("fuel-ledger", "POST", "/entries", "check", PromptShape.NONE, key);
     }
 
-    long arrive(String service, String method, String path, String name, PromptShape shape, Optional<String> key) {
+    long sendRequest(String service, String method, String path, String name, PromptShape shape, Optional<String> key) {
         sequence++;
         Call call = new Call(method, path, List.of(), new byte[10]);
         CallerRequest request =
-                new CallerRequest(service, Optional.of(Documents.CREDENTIAL), Optional.of(name), key, call, shape);
+                new CallerRequest(service, Optional.of(TestDocuments.CREDENTIAL), Optional.of(name), key, call, shape);
         handle(new EntryEvent.RequestArrived(sequence, request));
         return sequence;
     }
@@ -140,12 +140,12 @@
         return frames(Frame.Dispatch.class);
     }
 
-    /** Returns the only dispatch that is expected to have been made for the request. */
+    /** Returns the last dispatch. */
     Frame.Dispatch lastDispatch() {
         return dispatches().get(dispatches().size() - 1);
     }
 
-    /** Returns the number of the companion that the last dispatch went to. */
+    /** Returns the number of the last dispatch's companion. */
     int lastCompanion() {
         String name = lastDispatch().target().value();
         return Integer.parseInt(name.substring("target-".length()));
@@ -160,17 +160,17 @@
                 .toList();
     }
 
-    <E extends EntryEffect> List<E> all(Class<E> type) {
+    <E extends EntryEffect> List<E> effectsOf(Class<E> type) {
         return effects.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    /** Returns the final error that the caller of the request got. */
+    /** Returns the kind of the request's final error. */
     ErrorKind refusal(long request) {
         return refusalOf(request).kind();
     }
 
     Refusal refusalOf(long request) {
-        return all(EntryEffect.Refuse.class).stream()
+        return effectsOf(EntryEffect.Refuse.class).stream()
                 .filter(refuse -> refuse.sequence() == request)
                 .findFirst()
                 .orElseThrow(() -> new AssertionError("request " + request + " has no final error"))
@@ -193,9 +193,9 @@
         frame(lastCompanion(), new Frame.NotRun(dispatch.attempt(), new Refusal(kind, 100, "busy"), 50_000));
     }
 
-    /** Returns the first byte of each chunk that the caller got, in order. */
-    List<Integer> delivered(long request) {
-        return all(EntryEffect.SendChunk.class).stream()
+    /** Returns the first byte of each chunk that was sent to the caller, in order. */
+    List<Integer> deliveredChunks(long request) {
+        return effectsOf(EntryEffect.SendChunk.class).stream()
                 .filter(chunk -> chunk.sequence() == request)
                 .map(chunk -> (int) chunk.bytes()[0])
                 .toList();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryInvariantsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryInvariantsTest.java
@@ -11,18 +11,18 @@
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.RunState;
 
-/** What holds for an {@link EntryMachine} whatever happens, in whichever order. */
+/** Tests invariants of {@link EntryMachine} under random sequences of events. */
 class EntryInvariantsTest {
     @Property(seed = "51", tries = 300)
-    void noDispatchGoesToATargetThatIsStaleDrainingLeavingOrUnknown(@ForAll long seed) {
+    void noDispatchGoesToAStaleDrainingLeavingOrUnknownTarget(@ForAll long seed) {
         assertThat(new EntryChaos(seed).run().wrongDispatches).isEmpty();
     }
 
     @Property(seed = "52", tries = 300)
-    void everyRequestGetsExactlyOneEnd(@ForAll long seed) {
+    void everyRequestEndsExactlyOnce(@ForAll long seed) {
         EntryDriver driver = new EntryChaos(seed).run().driver;
         Map<String, Integer> ends = new HashMap<>();
-        driver.all(EntryEffect.RequestEnded.class)
+        driver.effectsOf(EntryEffect.RequestEnded.class)
                 .forEach(ended -> ends.merge(ended.summary().requestId(), 1, Integer::sum));
 
         assertThat(ends.values()).allMatch(count -> count == 1);
@@ -31,9 +31,9 @@
         }
     }
 
-    /** A doubled alarm: a call that may run once is sent again only after its companion proved that it didn't run. */
+    /** A call that may run at most once is retried only after its companion proved that it didn't run. */
     @Property(seed = "53", tries = 300)
-    void aCallThatMayRunOnlyOnceIsSentAgainOnlyAfterProofThatItDidNotRun(@ForAll long seed) {
+    void anAtMostOnceCallIsRetriedOnlyAfterProofThatItDidNotRun(@ForAll long seed) {
         EntryChaos chaos = new EntryChaos(seed).run();
         for (Frame.Dispatch dispatch : chaos.driver.dispatches()) {
             if (dispatch.idempotent() || dispatch.attempt().attempt() == 1) {
@@ -45,11 +45,11 @@
         }
     }
 
-    /** A refusal that says "not run" is true: each attempt of the request was refused by its companion. */
+    /** A refusal claims "not run" only if each attempt of the request was refused by its companion. */
     @Property(seed = "54", tries = 300)
     void aRefusalThatSaysNotRunIsTrue(@ForAll long seed) {
         EntryChaos chaos = new EntryChaos(seed).run();
-        for (EntryEffect.Refuse refuse : chaos.driver.all(EntryEffect.Refuse.class)) {
+        for (EntryEffect.Refuse refuse : chaos.driver.effectsOf(EntryEffect.Refuse.class)) {
             if (refuse.refusal().kind().runState() == RunState.NOT_RUN) {
                 assertThat(chaos.driver.dispatches().stream()
                                 .filter(dispatch -> dispatch.attempt().sequence() == refuse.sequence())
@@ -59,19 +59,19 @@
         }
     }
 
-    /** No verdict mixes two runs: all that a caller got is of one attempt, and whole as far as it goes. */
+    /** An answer never mixes two runs: all chunks that a caller gets are of one attempt. */
     @Property(seed = "55", tries = 300)
     void aCallerGetsChunksOfOneAttemptOnly(@ForAll long seed) {
         EntryDriver driver = new EntryChaos(seed).run().driver;
         Map<Long, Byte> attempts = new HashMap<>();
-        for (EntryEffect.SendChunk chunk : driver.all(EntryEffect.SendChunk.class)) {
+        for (EntryEffect.SendChunk chunk : driver.effectsOf(EntryEffect.SendChunk.class)) {
             assertThat(chunk.bytes()[0]).isEqualTo((byte) chunk.sequence());
             assertThat(attempts.merge(chunk.sequence(), chunk.bytes()[1], (first, next) -> first))
                     .isEqualTo(chunk.bytes()[1]);
         }
     }
 
-    /** Retries that cost something never exceed what first attempts earned and the reserve. */
+    /** Charged retries never exceed the initial retries and those that first attempts earned. */
     @Property(seed = "56", tries = 300)
     void retriesStayWithinTheirBudget(@ForAll long seed) {
         EntryChaos chaos = new EntryChaos(seed).run();
@@ -84,13 +84,13 @@
                     continue;
                 }
                 firsts += dispatch.attempt().attempt() == 1 ? 1 : 0;
-                charged += dispatch.attempt().attempt() > 1 && !isFree(chaos, dispatch) ? 1 : 0;
+                charged += dispatch.attempt().attempt() > 1 && !isUncharged(chaos, dispatch) ? 1 : 0;
             }
-            assertThat((double) charged).isLessThanOrEqualTo(RetryBudget.RESERVE + 0.1 * firsts);
+            assertThat((double) charged).isLessThanOrEqualTo(RetryBudget.INITIAL_RETRIES + 0.1 * firsts);
         }
     }
 
-    private static boolean isFree(EntryChaos chaos, Frame.Dispatch dispatch) {
+    private static boolean isUncharged(EntryChaos chaos, Frame.Dispatch dispatch) {
         return chaos.notRun.entrySet().stream()
                 .anyMatch(each -> each.getValue() == ErrorKind.DRAINING
                         && each.getKey().sequence() == dispatch.attempt().sequence()
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryMachineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/EntryMachineTest.java
@@ -1,7 +1,7 @@
 package org.rattanrudder.core.entry;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.rattanrudder.core.entry.Documents.target;
+import static org.rattanrudder.core.entry.TestDocuments.target;
 
 import java.util.List;
 import java.util.Optional;
@@ -17,8 +17,8 @@
 
 class EntryMachineTest {
     @Test
-    void anAnswerIsPassedOnWholeAndInOrder() {
-        EntryDriver driver = EntryDriver.ready(Documents.prompts(target(1)));
+    void anAnswerIsForwardedCompletelyAndInOrder() {
+        EntryDriver driver = EntryDriver.ready(TestDocuments.prompts(target(1)));
         long request = driver.prompt("sheet");
         Frame.Dispatch dispatch = driver.lastDispatch();
 
@@ -29,18 +29,18 @@
 
         assertThat(dispatch.weightVersion()).isEqualTo("v1");
         assertThat(dispatch.companionIncarnation()).isEqualTo(100);
-        assertThat(driver.delivered(request)).containsExactly(0, 1);
-        assertThat(driver.all(EntryEffect.EndAnswer.class)).containsExactly(new EntryEffect.EndAnswer(request));
-        assertThat(driver.all(EntryEffect.RequestEnded.class)).hasSize(1);
+        assertThat(driver.deliveredChunks(request)).containsExactly(0, 1);
+        assertThat(driver.effectsOf(EntryEffect.EndAnswer.class)).containsExactly(new EntryEffect.EndAnswer(request));
+        assertThat(driver.effectsOf(EntryEffect.RequestEnded.class)).hasSize(1);
     }
 
     @ParameterizedTest
     @EnumSource(
             value = ErrorKind.class,
             names = {"OVERLOADED", "DRAINING", "VERSION_CHANGED", "STALE_INCARNATION", "TARGET_UNREACHABLE"})
-    void whatIsProvedNotToHaveRunGoesToAnotherTarget(ErrorKind kind) {
-        EntryDriver driver = EntryDriver.ready(Documents.plain(target(1), target(2)));
-        driver.entryCall(Optional.empty());
+    void anAttemptProvedNotRunIsRetriedOnAnotherTarget(ErrorKind kind) {
+        EntryDriver driver = EntryDriver.ready(TestDocuments.plain(target(1), target(2)));
+        driver.atMostOnceCall(Optional.empty());
         Frame.Dispatch first = driver.lastDispatch();
 
         driver.notRun(first, kind);
@@ -51,8 +51,8 @@
     }
 
     @Test
-    void aRefusalByTheOnlyTargetReachesTheCallerAtOnceWithATimeToComeBack() {
-        EntryDriver driver = EntryDriver.ready(Documents.prompts(target(1)));
+    void aRefusalByTheOnlyTargetReachesTheCallerAtOnceWithARetryDelay() {
+        EntryDriver driver = EntryDriver.ready(TestDocuments.prompts(target(1)));
         long request = driver.prompt("sheet");
 
         driver.notRun(driver.lastDispatch(), ErrorKind.OVERLOADED);
@@ -65,34 +65,37 @@
     @EnumSource(
             value = ErrorKind.class,
             names = {"UNKNOWN_SERVICE", "UNKNOWN_PATH", "FORBIDDEN"})
-    void whatCanNotBeServedIsRefusedWithItsReason(ErrorKind kind) {
-        EntryDriver driver = EntryDriver.ready(Documents.prompts(target(1)));
+    void invalidRequestsAreRefusedWithTheReason(ErrorKind kind) {
+        EntryDriver driver = EntryDriver.ready(TestDocuments.prompts(target(1)));
         String service = kind == ErrorKind.UNKNOWN_SERVICE ? "nothing" : "palivo-llm";
         String requestClass = kind == ErrorKind.FORBIDDEN ? "alarm" : "audit";
 
-        long request = driver.arrive(service, "GET", "/", requestClass, PromptShape.NONE, Optional.empty());
+        long request = driver.sendRequest(service, "GET", "/", requestClass, PromptShape.NONE, Optional.empty());
 
         assertThat(driver.refusal(request)).isEqualTo(kind);
         assertThat(driver.dispatches()).isEmpty();
     }
 
     @Test
-    void aCallerThatGoesAwayHasItsAttemptCancelled() {
-        EntryDriver driver = EntryDriver.ready(Documents.prompts(target(1)));
+    void theAttemptOfADisconnectedCallerIsCancelled() {
+        EntryDriver driver = EntryDriver.ready(TestDocuments.prompts(target(1)));
         long request = driver.prompt("sheet");
 
         driver.handle(new EntryEvent.CallerDisconnected(request));
 
         assertThat(driver.frames(Frame.Cancel.class))
                 .containsExactly(new Frame.Cancel(driver.lastDispatch().attempt()));
-        assertThat(driver.all(EntryEffect.RequestEnded.class).get(0).summary().error())
+        assertThat(driver.effectsOf(EntryEffect.RequestEnded.class)
+                        .get(0)
+                        .summary()
+                        .error())
                 .contains(ErrorKind.CANCELLED);
     }
 
     @Test
-    void heartbeatsGoOutEachSecondAndNameTheRevisionsInForce() {
-        EntryDriver driver = EntryDriver.ready(Documents.prompts(target(1)));
-        driver.pass(1_000_000);
+    void heartbeatsAreSentEachSecondWithTheRevisionsInForce() {
+        EntryDriver driver = EntryDriver.ready(TestDocuments.prompts(target(1)));
+        driver.advance(1_000_000);
 
         List<Frame.Heartbeat> heartbeats = driver.frames(Frame.Heartbeat.class);
         assertThat(heartbeats).extracting(Frame.Heartbeat::sequence).containsExactly(1L, 2L);
@@ -100,8 +103,8 @@
     }
 
     @Test
-    void operatorsSeeWhereARequestWouldGo() {
-        ServiceDocument document = Documents.prompts(target(1), target(2, "depo-juh", true));
+    void explainShowsTheRoutingDecision() {
+        ServiceDocument document = TestDocuments.prompts(target(1), target(2, "depo-juh", true));
         EntryDriver driver = EntryDriver.ready(document);
 
         driver.handle(new EntryEvent.OperatorCalled(
@@ -110,7 +113,7 @@
                         document.service(), new CustomerName("depot-sever"), "audit", PromptShape.NONE)));
 
         EntryEffect.ReplyToOperator reply =
-                driver.all(EntryEffect.ReplyToOperator.class).get(0);
+                driver.effectsOf(EntryEffect.ReplyToOperator.class).get(0);
         OperatorReply.Explanation explanation = (OperatorReply.Explanation) reply.reply();
         assertThat(explanation.chosen()).isEqualTo("target-1");
         assertThat(explanation.weighed())
@@ -119,14 +122,14 @@
         assertThat(driver.dispatches()).isEmpty();
     }
 
-    /** A class that goes first waits less than the reported wait, which is that of middle priority. */
+    /** Requests of the top priority wait less than the reported wait, which is that of a medium priority. */
     @ParameterizedTest
     @CsvSource({"audit, DEADLINE_UNREACHABLE", "check,"})
-    void whatCanNotMeetItsDeadlineIsRefusedAtOnceUnlessOnlyItsCompanionCanTell(String name, ErrorKind kind) {
-        EntryDriver driver = EntryDriver.ready(Documents.prompts(target(1)));
+    void aRequestThatCanNotMeetItsDeadlineIsRefusedUnlessItHasTopPriority(String name, ErrorKind kind) {
+        EntryDriver driver = EntryDriver.ready(TestDocuments.prompts(target(1)));
         driver.heartbeat(1, 100, true, 15_000_000, 1);
 
-        long request = driver.arrive(
+        long request = driver.sendRequest(
                 "palivo-llm", "POST", "/v1/chat/completions", name, new PromptShape(10, List.of()), Optional.empty());
 
         assertThat(driver.dispatches()).hasSize(kind == null ? 1 : 0);
@@ -136,12 +139,12 @@
         }
     }
 
-    /** A changed document must not make all that is known of its targets be learnt anew. */
+    /** A changed document must not discard the load reports of the targets that it retains. */
     @Test
-    void targetsThatStayInAChangedDocumentGetWorkAtOnce() {
-        EntryDriver driver = EntryDriver.ready(Documents.prompts(target(1), target(2)));
+    void targetsRetainedByAChangedDocumentGetWorkAtOnce() {
+        EntryDriver driver = EntryDriver.ready(TestDocuments.prompts(target(1), target(2)));
         driver.prompt("sheet");
-        driver.publish(Documents.prompts(target(1), target(2), target(3)), 1);
+        driver.publish(TestDocuments.prompts(target(1), target(2), target(3)), 1);
 
         driver.prompt("sheet");
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/PublisherTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/PublisherTest.java
@@ -22,8 +22,8 @@
     private static final long SECOND = 1_000_000;
 
     private final EntryDriver entry = new EntryDriver();
-    private final String text = entry.documents.textOf(Documents.prompts(Documents.target(1)));
-    private final String other = entry.documents.textOf(Documents.prompts(Documents.target(2)));
+    private final String text = entry.documents.textOf(TestDocuments.prompts(TestDocuments.target(1)));
+    private final String other = entry.documents.textOf(TestDocuments.prompts(TestDocuments.target(2)));
     private long end;
 
     @BeforeEach
@@ -39,9 +39,9 @@
     }
 
     @Test
-    void ofTwoOperatorsWhoEditTheSameRevisionOneIsToldOfTheOther() {
-        // Two operators both believe that their document is in force. Each edited revision 1 at another entry; the log
-        // took the other's first.
+    void theSecondOfTwoEditsOfARevisionIsAConflict() {
+        // Two operators both believe that their document is in force: they edited revision 1 at different entries, and
+        // the log has the other operator's edit first.
         read(List.of(record(new LogBatch(5, 1, List.of(new LogEntry.DocumentEdit(PALIVO, 0, text))))));
         publish(1, 1, other);
         LogRecord theirs = record(new LogBatch(5, 2, List.of(new LogEntry.DocumentEdit(PALIVO, 1, text))));
@@ -55,8 +55,8 @@
     @ParameterizedTest(name = "the append took effect: {0}")
     @ValueSource(booleans = {true, false})
     void aLostAnswerIsResolvedByReadingBack(boolean tookEffect) {
-        // An operator is told that an edit failed and then finds it in force, or it is in force twice. The log's answer
-        // to the append was lost; only the log itself tells, and a repeat carries the same batch.
+        // An edit that was reported as failed is in force, or it is applied twice: the answer to the append was lost.
+        // The outcome must be read from the log, and a retry must append the same batch.
         publish(1, 0, text);
         LogBatch batch = appended().get(0);
         entry.handle(
@@ -64,7 +64,7 @@
         assertThat(replies()).isEmpty();
         read(tookEffect ? List.of(record(batch)) : List.of());
         if (!tookEffect) {
-            entry.pass(SECOND);
+            entry.advance(SECOND);
             assertThat(appended()).containsExactly(batch, batch);
             read(List.of(record(batch), record(batch)));
         }
@@ -73,9 +73,10 @@
 
     @ParameterizedTest(name = "the append was sent: {0}")
     @ValueSource(booleans = {true, false})
-    void whenTheLogGoesDownTheAnswerComesAtOnceAndNotRunIsTrue(boolean sent) {
-        // An operator waits through an outage, or publishes again since the first edit was "not run", and an hour later
-        // the first one comes into force. What was sent may be in the log; what was never sent can't be.
+    void whenTheLogFailsTheReplyComesAtOnceAndNotRunIsClaimedOnlyIfTrue(boolean sent) {
+        // An operator waits for the whole outage, or publishes again because the first edit was reported as not run,
+        // and
+        // the first edit takes effect an hour later. An edit that was sent may be in the log; one never sent can't be.
         publish(1, 0, text);
         if (!sent) {
             entry.handle(new EntryEvent.AppendSettled(LogStream.CONFIGURATION, 1, new AppendResult.Refused()));
@@ -85,13 +86,13 @@
         assertThat(replies()).singleElement().extracting(PublisherTest::kind).isEqualTo(expected);
         if (!sent) {
             read(List.of());
-            entry.pass(5 * SECOND);
+            entry.advance(5 * SECOND);
             assertThat(appended()).as("sent after it was said not to run").hasSize(1);
         }
     }
 
     @Test
-    void anEditThatAnotherOvertookIsAConflictThoughItsOwnAppendIsInDoubt() {
+    void anOvertakenEditIsAConflictEvenIfItsAppendIsUnresolved() {
         publish(1, 0, text);
         entry.handle(new EntryEvent.AppendSettled(LogStream.CONFIGURATION, 1, new AppendResult.Unknown()));
         read(List.of(record(new LogBatch(5, 1, List.of(new LogEntry.DocumentEdit(PALIVO, 0, other))))));
@@ -99,26 +100,25 @@
     }
 
     @Test
-    void anEditFromARevisionThatThisEntryHasNotReadIsNotSent() {
-        // An edit that was answered as void comes into force later. It was made from a revision that another entry knew
-        // already, was appended before it, and a copy of it landed behind.
+    void anEditOfAnUnreadRevisionIsNotAppended() {
+        // An edit that was reported as void takes effect later: it was appended before its base revision, which only
+        // another entry had read, and a copy of it was appended after that revision.
         publish(1, 7, text);
         assertThat(replies()).singleElement().extracting(PublisherTest::kind).isEqualTo(ErrorKind.LOG_UNAVAILABLE);
         assertThat(appended()).isEmpty();
     }
 
     @Test
-    void anEntryThatStartsDuringAnOutageServesByTheDocumentsOfACompanion() {
-        // A replaced entry refuses every request for as long as the log is down, though its companions work on. Only
-        // the
-        // documents say where companions are, so its settings name some to ask.
+    void anEntryThatStartsDuringALogOutageUsesACompanionsDocuments() {
+        // A restarted entry refuses every request while the log is down, although its companions work. Only documents
+        // contain the companions' addresses, so the entry's settings list bootstrap companions.
         EntryDriver started = new EntryDriver();
         started.handle(new EntryEvent.LogReadFailed(LogStream.CONFIGURATION));
-        assertThat(started.all(EntryEffect.OpenLink.class))
-                .containsExactly(new EntryEffect.OpenLink(Documents.companion(1)));
-        started.open(1, 100);
+        assertThat(started.effectsOf(EntryEffect.OpenLink.class))
+                .containsExactly(new EntryEffect.OpenLink(TestDocuments.companion(1)));
+        started.openLink(1, 100);
         assertThat(started.frames(Frame.ConfigurationRequest.class)).hasSize(1);
-        String known = started.documents.textOf(Documents.prompts(Documents.target(1)));
+        String known = started.documents.textOf(TestDocuments.prompts(TestDocuments.target(1)));
         LogEntry index = new LogEntry.RevisionIndex(1, List.of(new LogEntry.Revision(PALIVO, 2)));
         for (LogEntry each : List.of(index, new LogEntry.DocumentRefresh(PALIVO, 2, known))) {
             LogRecord told = new LogRecord(2, new LogBatch(0, 0, List.of(each)));
@@ -131,10 +131,10 @@
     }
 
     @Test
-    void whileTheLogCannotBeReadANewerRevisionComesFromACompanion() {
-        // An entry that lost the log, while its companions did not, serves by an old document for the whole outage.
+    void duringALogOutageANewerRevisionComesFromACompanion() {
+        // An entry that can't read the log, while its companions can, uses an old document for the whole outage.
         read(List.of(record(new LogBatch(5, 1, List.of(new LogEntry.DocumentEdit(PALIVO, 0, text))))));
-        entry.open(1, 100);
+        entry.openLink(1, 100);
         entry.handle(new EntryEvent.LogReadFailed(LogStream.CONFIGURATION));
         Frame.ServiceRevision newer = new Frame.ServiceRevision(PALIVO, 2);
         entry.frame(1, new Frame.Heartbeat(100, 1, List.of(), List.of(newer), 1));
@@ -151,7 +151,7 @@
 
     private void publish(long handle, long base, String document) {
         entry.handle(new EntryEvent.OperatorCalled(handle, new OperatorCall.Publish(PALIVO, base, document)));
-        entry.pass(50_000);
+        entry.advance(50_000);
     }
 
     private LogRecord record(LogBatch batch) {
@@ -164,14 +164,14 @@
     }
 
     private List<LogBatch> appended() {
-        return entry.all(EntryEffect.Append.class).stream()
+        return entry.effectsOf(EntryEffect.Append.class).stream()
                 .map(EntryEffect.Append::batch)
                 .toList();
     }
 
     private List<OperatorReply> replies() {
         List<OperatorReply> replies = new ArrayList<>();
-        entry.all(EntryEffect.ReplyToOperator.class).forEach(effect -> replies.add(effect.reply()));
+        entry.effectsOf(EntryEffect.ReplyToOperator.class).forEach(effect -> replies.add(effect.reply()));
         return replies;
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/ReturnScheduleTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/RetryAfterSchedulerTest.java
@@ -7,26 +7,26 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class ReturnScheduleTest {
+class RetryAfterSchedulerTest {
     private static final int PER_SECOND = 50;
     private static final long SECOND = 1_000_000;
-    private final ReturnSchedule schedule = new ReturnSchedule(new SplittableRandom(9));
+    private final RetryAfterScheduler scheduler = new RetryAfterScheduler(new SplittableRandom(9));
 
     @Test
-    void noCallerIsToldToComeBackBeforeItCouldSucceed() {
+    void noRetryIsScheduledBeforeItCanSucceed() {
         for (int refused = 0; refused < 100; refused++) {
-            assertThat(schedule.retryAfterMillis(700, refused)).isBetween(700L, 30_000L);
+            assertThat(scheduler.retryAfterMillis(700, refused)).isBetween(700L, 30_000L);
         }
     }
 
     /**
-     * The service is back after half a minute and collapses in the same second: all callers who were refused meanwhile
-     * come back together, with what is new on top.
+     * A service fails again in the second in which an outage of half a minute ends: all refused callers retry at once,
+     * in addition to the new requests.
      */
     @Test
-    void callersOfAnOutageComeBackAboutAsFastAsTheServiceTakesThem() {
+    void retriesAfterAnOutageArriveAboutAsFastAsTheServiceAnswers() {
         for (int answered = 0; answered < 20 * PER_SECOND; answered++) {
-            schedule.answered(answered * SECOND / PER_SECOND);
+            scheduler.onAnswered(answered * SECOND / PER_SECOND);
         }
         long begin = 20 * SECOND;
         long end = 50 * SECOND;
@@ -38,7 +38,7 @@
         while (!callers.isEmpty()) {
             long now = callers.poll();
             if (now < end) {
-                callers.add(now + schedule.retryAfterMillis(0, now) * 1_000);
+                callers.add(now + scheduler.retryAfterMillis(0, now) * 1_000);
             } else {
                 arrivals[(int) (now / SECOND)]++;
             }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/ServedServiceTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/ServedServiceTest.java
@@ -1,7 +1,7 @@
 package org.rattanrudder.core.entry;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.rattanrudder.core.entry.Documents.target;
+import static org.rattanrudder.core.entry.TestDocuments.target;
 
 import java.util.List;
 import java.util.Optional;
@@ -12,14 +12,15 @@
 
 class ServedServiceTest {
     /**
-     * Clerks get 503 version_changed for as long as new weights load: the document with the new version is in force,
-     * and every engine still serves the one before. Cause: attempts were for the document's version alone, which no
-     * engine could take. A version that no document asked for must still get no work.
+     * Callers get 503 version_changed while new weights load: the document with the new version is in force, every
+     * engine still serves the previous one, and attempts request only the new version. An engine with a version that
+     * was
+     * in no document must still get no work.
      */
     @ParameterizedTest
     @CsvSource({"v1, v1", "v2, v2", "v3, v3", "other, v3"})
-    void whileAChangeRollsOutAnAttemptIsForTheVersionThatItsTargetServes(String reported, String expected) {
-        ServiceDocument first = Documents.prompts(target(1));
+    void duringARolloutAnAttemptRequestsTheVersionThatItsTargetServes(String reported, String expected) {
+        ServiceDocument first = TestDocuments.prompts(target(1));
         EntryDriver driver = EntryDriver.ready(first);
         long second = driver.publish(withVersion(first, "v2"), 1);
         driver.publish(withVersion(first, "v3"), second);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/Documents.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/entry/TestDocuments.java
@@ -22,8 +22,8 @@
 import org.rattanrudder.core.model.ServiceName;
 import org.rattanrudder.core.model.TargetName;
 
-/** Documents of small services for tests, and a reader that knows them by a text of its own. */
-final class Documents implements DocumentReader {
+/** Documents of small services for tests, and a reader that maps a short text to each of them. */
+final class TestDocuments implements DocumentReader {
     static final Digest CREDENTIAL = Digest.of("depot-sever-secret");
 
     private final Map<String, ServiceDocument> documents = new HashMap<>();
@@ -34,7 +34,7 @@
         return document == null ? new Invalid("line 1, column 1: unknown text") : new Valid(document);
     }
 
-    /** Returns the text that stands for the document. */
+    /** Registers the document and returns the text that represents it. */
     String textOf(ServiceDocument document) {
         String text = document.service() + "#" + documents.size();
         documents.put(text, document);
