--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
@@ -10,7 +10,7 @@
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.ErrorKind;
-import org.rattanrudder.core.orders.OrderTerms;
+import org.rattanrudder.core.orders.OrderSettings;
 
 /**
  * Decides what a companion's targets run, and in which order.
@@ -65,7 +65,7 @@
         answers = new Answers(attempts, gate, runs);
         supervision = new Supervision(attempts, intake, runs);
         reports = new StateReports(settings, targets, documents, links, intake, mover);
-        EngineOrders orders = new EngineOrders(settings.incarnation(), OrderTerms.DEFAULT, random);
+        EngineOrders orders = new EngineOrders(settings.incarnation(), OrderSettings.DEFAULT, random);
         parts = List.of(gate, mover, orders);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
@@ -14,21 +14,21 @@
 import org.rattanrudder.core.orders.DesiredState;
 import org.rattanrudder.core.orders.OrderActions;
 import org.rattanrudder.core.orders.OrderLedger;
-import org.rattanrudder.core.orders.OrderTerms;
+import org.rattanrudder.core.orders.OrderSettings;
 import org.rattanrudder.core.orders.TargetKey;
 import org.rattanrudder.core.orders.TargetOrders;
 
 /** Orders this companion's engines to the state that their documents ask for. */
 final class EngineOrders implements CompanionPart {
     private final long incarnation;
-    private final OrderTerms terms;
+    private final OrderSettings terms;
     private final LogWriter log;
     private final OrderLedger ledger = new OrderLedger();
     private final Map<TargetName, TargetOrders> orders = new TreeMap<>(Comparator.comparing(TargetName::value));
     private final Map<TargetName, HeldTarget> targets = new TreeMap<>(Comparator.comparing(TargetName::value));
     private long lastMicros = Long.MAX_VALUE;
 
-    EngineOrders(long incarnation, OrderTerms terms, RandomGenerator random) {
+    EngineOrders(long incarnation, OrderSettings terms, RandomGenerator random) {
         this.incarnation = incarnation;
         this.terms = terms;
         this.log = new LogWriter(LogStream.ORDERS, incarnation, LogWriterSettings.DEFAULT, random);
@@ -41,7 +41,7 @@
             if (!target.isReleased() && target.document().model().isPresent()) {
                 targets.put(target.name(), target);
                 orders.computeIfAbsent(target.name(), name -> newOrders(target))
-                        .want(DesiredState.of(target.document().model().get()));
+                        .setDesired(DesiredState.of(target.document().model().get()));
             }
         }
         orders.keySet().retainAll(targets.keySet());
@@ -50,11 +50,11 @@
     @Override
     public void handle(CompanionEvent event, Turn turn) {
         long nowMicros = turn.nowMicros();
-        if (nowMicros - lastMicros > terms.pauseMicros()) {
+        if (nowMicros - lastMicros > terms.pauseThresholdMicros()) {
             // Failure: a companion that was frozen, by its machine or a signal, goes on where it stood and gives an
             // order after another took over. Ticks come every 50 ms, so a jump shows the pause, whatever its length.
-            orders.values().forEach(TargetOrders::paused);
-            ledger.paused(nowMicros, terms.doubtMicros());
+            orders.values().forEach(TargetOrders::onPause);
+            ledger.onPause(nowMicros, terms.staleReadMicros());
             turn.note("paused", "micros", Long.toString(nowMicros - lastMicros));
         }
         lastMicros = nowMicros;
@@ -65,10 +65,10 @@
         } else if (event instanceof CompanionEvent.AppendSettled settled && settled.stream() == LogStream.ORDERS) {
             log.onAppendResult(settled.sequence(), settled.result(), nowMicros);
         } else if (event instanceof CompanionEvent.LoadReported reported && orders.containsKey(reported.target())) {
-            orders.get(reported.target()).reported(reported.load().weightVersion(), nowMicros);
+            orders.get(reported.target()).onVersionReported(reported.load().weightVersion(), nowMicros);
         } else if (event instanceof CompanionEvent.OrderAnswered answered && orders.containsKey(answered.target())) {
             orders.get(answered.target())
-                    .answered(answered.fencing(), answered.outcome(), nowMicros, actions(answered.target(), turn));
+                    .onAnswer(answered.fencing(), answered.outcome(), nowMicros, actions(answered.target(), turn));
         } else if (!(event instanceof CompanionEvent.Tick)) {
             return;
         }
@@ -82,18 +82,18 @@
 
     private void read(CompanionEvent.LogRead read, long nowMicros) {
         for (LogRecord record : read.records()) {
-            if (ledger.take(record, nowMicros) && record.batch().writer() == incarnation) {
+            if (ledger.apply(record, nowMicros) && record.batch().writer() == incarnation) {
                 record.batch().entries().forEach(entry -> readBack(entry, record.offset(), nowMicros));
             }
         }
         if (read.caughtUp()) {
-            ledger.reachedEnd(nowMicros);
+            ledger.onEndReached(nowMicros);
         }
         log.onRecords(read.records(), read.caughtUp());
     }
 
     private void readBack(LogEntry entry, long offset, long nowMicros) {
-        orders.values().forEach(each -> each.readBack(entry, offset, nowMicros));
+        orders.values().forEach(each -> each.onReadBack(entry, offset, nowMicros));
     }
 
     private OrderActions actions(TargetName name, Turn turn) {
@@ -105,19 +105,19 @@
             }
 
             @Override
-            public void give(long fencing, DesiredState state) {
+            public void sendOrder(long fencing, DesiredState state) {
                 turn.ask(new CompanionEffect.SendOrder(
                         name, target.settings().address(), fencing, state.model(), state.version(), state.adapters()));
             }
 
             @Override
-            public void askLast() {
+            public void queryLastOrder() {
                 turn.ask(new CompanionEffect.QueryLastOrder(
                         name, target.settings().address()));
             }
 
             @Override
-            public void note(String event, String... fields) {
+            public void logEvent(String event, String... fields) {
                 turn.note(event, fields);
             }
         };
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/orders/OrderActions.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/orders/OrderActions.java
@@ -2,17 +2,20 @@
 
 import org.rattanrudder.core.log.LogEntry;
 
-/** What the orders to one target ask of the companion. */
+/** Actions that {@link TargetOrders} requests from its companion. */
 public interface OrderActions {
-    /** Appends an entry to the orders stream; returns false, and does nothing, while the log can't be written. */
+    /** Appends an entry to the orders stream. Returns false, and appends nothing, while the log can't be written. */
     boolean append(LogEntry entry);
 
-    /** Gives the target an order; answered later, if only by its loss. */
-    void give(long fencing, DesiredState state);
+    /** Sends an order to the target. Its result follows later, as {@code LOST} if there is no answer. */
+    void sendOrder(long fencing, DesiredState state);
 
-    /** Asks the target what became of the last order that it took; answered later, if only by its loss. */
-    void askLast();
+    /**
+     * Queries the state of the target's last accepted order. The result follows later, as {@code LOST} if there is no
+     * answer.
+     */
+    void queryLastOrder();
 
-    /** Tells operators something: a fixed word, and key, value, key, value and so on. */
-    void note(String event, String... fields);
+    /** Writes an event to the operators' log: a fixed event name and alternating keys and values. */
+    void logEvent(String event, String... fields);
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/orders/OrderLedger.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/orders/OrderLedger.java
@@ -14,60 +14,60 @@
 import org.rattanrudder.core.model.ServiceName;
 
 /**
- * A fold of the orders stream: leases of targets and claims to load weights, as one reader sees them.
+ * Tracks the leases of targets and the claims to load weights that one reader has read from the orders stream.
  *
- * <p>Which lease is the newest and which claim came first depends on the log's order alone. When one has lapsed depends
- * on this reader's clock, counted from its own reading, and is only believed after a later read reached the log's end:
- * until then a renewal may lie there unread.
+ * <p>Which lease is the newest and which claim came first depends on the order of the log only. Expiry depends on this
+ * reader's clock and counts from the time at which it read the record. A lease or claim counts as expired only once a
+ * later read has reached the end of the log, since until then an unread renewal may be there.
  */
 public final class OrderLedger {
-    /** The most weight loads that run at once in a service; the weight store slows down beyond. */
-    public static final int LOADS_AT_ONCE = 2;
+    /** Maximum number of concurrent weight loads of a service; with more, the weight store slows down. */
+    public static final int MAX_CONCURRENT_LOADS = 2;
 
-    private static final int KEPT_NUMBERS = 16;
-    private static final long COPY_MICROS = 3_600_000_000L;
+    private static final int MAX_FENCING_NUMBERS = 16;
+    private static final long DUPLICATE_WINDOW_MICROS = 3_600_000_000L;
 
     private final Map<TargetKey, Lease> leases = new HashMap<>();
-    private final Map<TargetKey, Deque<Long>> numbers = new HashMap<>();
-    /** The holders of each target by their first records, and when the last record of each lapses. */
+    private final Map<TargetKey, Deque<Long>> fencingNumbers = new HashMap<>();
+    /** Holders of each target in the order of their first records, and the time at which their last record expires. */
     private final Map<TargetKey, Map<Long, Long>> holders = new HashMap<>();
 
     private final Map<ServiceName, Map<Claimant, Claim>> claims = new HashMap<>();
-    private final BatchDeduplicator copies = new BatchDeduplicator(COPY_MICROS);
-    private long claimsTaken;
-    private long trustEndsMicros = Long.MIN_VALUE;
-    private long endMicros = Long.MIN_VALUE / 2;
+    private final BatchDeduplicator deduplicator = new BatchDeduplicator(DUPLICATE_WINDOW_MICROS);
+    private long claimCount;
+    private long endTrustedFromMicros = Long.MIN_VALUE;
+    private long endReachedMicros = Long.MIN_VALUE / 2;
 
     /**
      * The newest lease of a target.
      *
-     * @param offset its place: the fencing number
-     * @param holder the incarnation that holds it
-     * @param busyMicros when every lease of other holders before it has lapsed
-     * @param lapseMicros when it lapses itself, as others count
+     * @param offset its log offset, which is the fencing number
+     * @param holder the incarnation of the companion that holds it
+     * @param othersExpiryMicros when all earlier leases of other holders have expired
+     * @param expiryMicros when it expires for companions other than its holder
      */
-    public record Lease(long offset, long holder, long busyMicros, long lapseMicros) {}
+    public record Lease(long offset, long holder, long othersExpiryMicros, long expiryMicros) {}
 
     /**
-     * Who claims a load.
+     * A companion that claims the right to load weights into a target.
      *
      * @param target the target that loads
      * @param holder the incarnation of its companion
      */
     public record Claimant(TargetKey target, long holder) {}
 
-    private record Claim(long place, long lapseMicros) {}
+    private record Claim(long position, long expiryMicros) {}
 
-    /** Takes a record; returns false for a further copy of a batch, which changes nothing. */
-    public boolean take(LogRecord record, long nowMicros) {
-        if (!copies.admit(record, nowMicros)) {
+    /** Applies a record. Returns false for a duplicate of a batch, which is ignored. */
+    public boolean apply(LogRecord record, long nowMicros) {
+        if (!deduplicator.admit(record, nowMicros)) {
             return false;
         }
         for (LogEntry entry : record.batch().entries()) {
             if (entry instanceof LogEntry.OrderLease lease) {
-                take(lease, record.offset(), nowMicros);
+                apply(lease, record.offset(), nowMicros);
             } else if (entry instanceof LogEntry.LoadClaim claim) {
-                take(claim, nowMicros);
+                apply(claim, nowMicros);
             } else if (entry instanceof LogEntry.LoadRelease release) {
                 TargetKey target = new TargetKey(release.service(), release.target());
                 claimsOf(release.service()).remove(new Claimant(target, release.holder()));
@@ -77,29 +77,29 @@
     }
 
     /**
-     * Takes note that this process was paused until now.
+     * Handles a pause of this process that has just ended.
      *
-     * <p>Failure: an answer that the log gave before the pause is handled after it, as if the log ended there now.
-     * Claims and leases that were renewed meanwhile seem lapsed, and a third load begins. So no end counts until such
-     * answers are surely gone.
+     * <p>A read result from before the pause may be handled after it, and its end of the log would pass for the present
+     * end. Claims and leases that were renewed during the pause would then seem expired, and a third load could start.
+     * So the end of the log is not trusted until no such result can arrive any more.
      *
      * @param nowMicros the time of the first event after the pause
-     * @param doubtMicros for how long answers from before may still come
+     * @param staleReadMicros for how long results of reads from before the pause may still arrive
      */
-    public void paused(long nowMicros, long doubtMicros) {
-        trustEndsMicros = nowMicros + doubtMicros;
+    public void onPause(long nowMicros, long staleReadMicros) {
+        endTrustedFromMicros = nowMicros + staleReadMicros;
     }
 
-    /** Takes note that the log's end was reached. */
-    public void reachedEnd(long nowMicros) {
-        if (nowMicros < trustEndsMicros) {
+    /** Handles a read that has reached the end of the log: removes expired claims and holders. */
+    public void onEndReached(long nowMicros) {
+        if (nowMicros < endTrustedFromMicros) {
             return;
         }
-        endMicros = nowMicros;
+        endReachedMicros = nowMicros;
         for (Map<Claimant, Claim> each : claims.values()) {
-            each.values().removeIf(claim -> claim.lapseMicros() <= endMicros);
+            each.values().removeIf(claim -> claim.expiryMicros() <= endReachedMicros);
         }
-        holders.values().removeIf(each -> each.values().stream().allMatch(lapse -> lapse <= endMicros));
+        holders.values().removeIf(each -> each.values().stream().allMatch(expiry -> expiry <= endReachedMicros));
     }
 
     /** Returns the newest lease of a target. */
@@ -107,23 +107,23 @@
         return Optional.ofNullable(leases.get(target));
     }
 
-    /** Returns whether no lease of another holder runs. */
-    public boolean isFree(TargetKey target, long holder) {
+    /** Returns whether no other holder has an unexpired lease. */
+    public boolean isFreeFor(TargetKey target, long holder) {
         Lease lease = leases.get(target);
-        return lease == null || lease.holder() == holder || lease.lapseMicros() <= endMicros;
+        return lease == null || lease.holder() == holder || lease.expiryMicros() <= endReachedMicros;
     }
 
-    /** Returns whether every lease that others held before the newest one has lapsed. */
-    public boolean isAlone(TargetKey target) {
+    /** Returns whether all leases that other holders had before the newest one have expired. */
+    public boolean haveOthersExpired(TargetKey target) {
         Lease lease = leases.get(target);
-        return lease == null || lease.busyMicros() <= endMicros;
+        return lease == null || lease.othersExpiryMicros() <= endReachedMicros;
     }
 
-    /** Returns whether another holder came after this one, by the first records of both, and hasn't lapsed. */
+    /** Returns whether another holder, whose first record is later than this one's, hasn't expired yet. */
     public boolean hasSuccessor(TargetKey target, long holder) {
         boolean after = false;
         for (Map.Entry<Long, Long> each : holders.getOrDefault(target, Map.of()).entrySet()) {
-            if (after && each.getValue() > endMicros) {
+            if (after && each.getValue() > endReachedMicros) {
                 return true;
             }
             after |= each.getKey() == holder;
@@ -131,12 +131,12 @@
         return false;
     }
 
-    /** Returns whether this is the offset of one of the target's latest leases. */
-    public boolean isLeaseOf(TargetKey target, long offset) {
-        return numbers.getOrDefault(target, new ArrayDeque<>()).contains(offset);
+    /** Returns whether this is the offset of one of the target's most recent leases. */
+    public boolean isRecentLeaseOffset(TargetKey target, long offset) {
+        return fencingNumbers.getOrDefault(target, new ArrayDeque<>()).contains(offset);
     }
 
-    /** Returns whether the claim is among the first that the service allows. */
+    /** Returns whether the claim is among the first {@link #MAX_CONCURRENT_LOADS} of its service. */
     public boolean mayLoad(Claimant claimant) {
         Map<Claimant, Claim> all = claimsOf(claimant.target().service());
         Claim own = all.get(claimant);
@@ -144,18 +144,18 @@
             return false;
         }
         long ahead = all.values().stream()
-                .filter(other -> other.place() < own.place())
+                .filter(other -> other.position() < own.position())
                 .count();
-        return ahead < LOADS_AT_ONCE;
+        return ahead < MAX_CONCURRENT_LOADS;
     }
 
-    /** Returns whether the claim is known and not given back. */
+    /** Returns whether the claim has been read and neither released nor expired. */
     public boolean hasClaim(Claimant claimant) {
         return claimsOf(claimant.target().service()).containsKey(claimant);
     }
 
-    /** Returns the claims that other companions made for the same target before. */
-    public List<Claimant> othersClaims(Claimant claimant) {
+    /** Returns the claims of other companions for the same target. */
+    public List<Claimant> claimsOfOthers(Claimant claimant) {
         List<Claimant> others = new ArrayList<>();
         for (Claimant each : claimsOf(claimant.target().service()).keySet()) {
             if (each.target().equals(claimant.target()) && each.holder() != claimant.holder()) {
@@ -165,45 +165,47 @@
         return others;
     }
 
-    private void take(LogEntry.OrderLease entry, long offset, long nowMicros) {
+    private void apply(LogEntry.OrderLease entry, long offset, long nowMicros) {
         TargetKey target = new TargetKey(entry.service(), entry.target());
         Lease before = leases.get(target);
-        appeared(target, entry.holder(), nowMicros + othersWait(entry.termMillis()));
-        long busy = Long.MIN_VALUE;
+        recordHolder(target, entry.holder(), nowMicros + observedTermMicros(entry.termMillis()));
+        long othersExpiry = Long.MIN_VALUE;
         if (before != null) {
-            busy = before.holder() == entry.holder()
-                    ? before.busyMicros()
-                    : Math.max(before.busyMicros(), before.lapseMicros());
+            othersExpiry = before.holder() == entry.holder()
+                    ? before.othersExpiryMicros()
+                    : Math.max(before.othersExpiryMicros(), before.expiryMicros());
         }
-        Deque<Long> kept = numbers.computeIfAbsent(target, any -> new ArrayDeque<>());
-        kept.addLast(offset);
-        if (kept.size() > KEPT_NUMBERS) {
-            kept.removeFirst();
+        Deque<Long> recent = fencingNumbers.computeIfAbsent(target, any -> new ArrayDeque<>());
+        recent.addLast(offset);
+        if (recent.size() > MAX_FENCING_NUMBERS) {
+            recent.removeFirst();
         }
-        leases.put(target, new Lease(offset, entry.holder(), busy, nowMicros + othersWait(entry.termMillis())));
+        leases.put(
+                target,
+                new Lease(offset, entry.holder(), othersExpiry, nowMicros + observedTermMicros(entry.termMillis())));
     }
 
-    private void take(LogEntry.LoadClaim entry, long nowMicros) {
+    private void apply(LogEntry.LoadClaim entry, long nowMicros) {
         TargetKey target = new TargetKey(entry.service(), entry.target());
-        // A renewal keeps the place of the claim that it renews.
-        claimsTaken++;
-        appeared(target, entry.holder(), nowMicros + othersWait(entry.termMillis()));
+        // A renewal keeps the position of the original claim.
+        claimCount++;
+        recordHolder(target, entry.holder(), nowMicros + observedTermMicros(entry.termMillis()));
         claimsOf(entry.service())
                 .merge(
                         new Claimant(target, entry.holder()),
-                        new Claim(claimsTaken, nowMicros + othersWait(entry.termMillis())),
-                        (first, renewal) -> new Claim(first.place(), renewal.lapseMicros()));
+                        new Claim(claimCount, nowMicros + observedTermMicros(entry.termMillis())),
+                        (first, renewal) -> new Claim(first.position(), renewal.expiryMicros()));
     }
 
-    private void appeared(TargetKey target, long holder, long lapseMicros) {
-        holders.computeIfAbsent(target, any -> new LinkedHashMap<>()).merge(holder, lapseMicros, Math::max);
+    private void recordHolder(TargetKey target, long holder, long expiryMicros) {
+        holders.computeIfAbsent(target, any -> new LinkedHashMap<>()).merge(holder, expiryMicros, Math::max);
     }
 
     private Map<Claimant, Claim> claimsOf(ServiceName service) {
         return claims.computeIfAbsent(service, any -> new LinkedHashMap<>());
     }
 
-    private static long othersWait(long termMillis) {
-        return OrderTerms.othersWait(termMillis * 1_000);
+    private static long observedTermMicros(long termMillis) {
+        return OrderSettings.observedTermMicros(termMillis * 1_000);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/orders/TargetKey.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/orders/TargetKey.java
@@ -4,7 +4,7 @@
 import org.rattanrudder.core.model.TargetName;
 
 /**
- * A target of a service.
+ * Identifies a target of a service.
  *
  * @param service the service
  * @param target the target
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/orders/TargetOrders.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/orders/TargetOrders.java
@@ -7,245 +7,264 @@
 import org.rattanrudder.core.log.LogEntry;
 
 /**
- * Brings one target to its desired state by orders, each under a lease and a claim read back from the log.
+ * Brings one target to its desired state. Each order requires a lease and a load claim that were read back from the
+ * log.
  *
- * <p>An order goes through these phases: wanted until lease and claim hold, asking what became of the last order,
- * ordering, loading until the target says that it is done. The lease's offset is the fencing number. Whether the target
- * checks it makes no difference here: the terms keep two holders apart, and the check is a second line against an order
- * that was on its way while its holder was frozen.
+ * <p>An order goes through these phases: lease and claim are acquired, the state of the last order is queried, the
+ * order is sent, and the target loads until it reports completion. The lease's log offset is the fencing number. Safety
+ * doesn't depend on the target checking it, since the terms already keep two holders apart. The check is a second
+ * safeguard against an order that was in flight while its holder was paused.
  *
  * <pre>{@code
- * orders.want(state);
- * orders.reported("v1", now);
+ * orders.setDesired(state);
+ * orders.onVersionReported("v1", now);
  * orders.advance(now, actions);
  * }</pre>
  */
 public final class TargetOrders {
     private static final long MICROS_PER_MILLI = 1_000;
-    private static final int LARGEST_DOUBLING = 6;
+    private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
     private final TargetKey target;
     private final OrderLedger.Claimant claimant;
     private final OrderLedger ledger;
-    private final OrderTerms terms;
-    private final HeldRecord lease;
-    private final HeldRecord claim;
+    private final OrderSettings settings;
+    private final LogBackedLease lease;
+    private final LogBackedLease claim;
 
     private DesiredState desired;
     private Optional<String> reportedVersion = Optional.empty();
     private Phase phase = Phase.SETTLED;
-    private DesiredState reached;
+    private DesiredState confirmed;
     private DesiredState ordered;
     private long orderedFencing;
-    private long deviatesSinceMicros = Long.MAX_VALUE;
+    private long deviatingSinceMicros = Long.MAX_VALUE;
     private long notBeforeMicros = Long.MIN_VALUE;
     private long releasedOffset;
     private int refusals;
-    private boolean foreignAllowed;
+    private boolean mayOverrideForeign;
 
     private enum Phase {
         /** Nothing to do. */
         SETTLED,
-        /** The target should change; lease and claim are awaited. */
-        WANTED,
-        /** The target is asked what became of the last order. */
-        ASKING,
-        /** An order is given and not answered. */
+        /** The target should change; lease and claim are being acquired. */
+        ACQUIRING,
+        /** The state of the last order is being queried. */
+        QUERYING,
+        /** An order has been sent and not been answered. */
         ORDERING,
-        /** The target loads. */
+        /** The target is loading. */
         LOADING
     }
 
     /**
-     * Starts without a desired state.
+     * Creates the orders of one target, without a desired state.
      *
      * @param target the target
      * @param holder the incarnation of this companion
-     * @param ledger what this companion reads in the orders stream
-     * @param terms how long leases and claims last
+     * @param ledger the leases and claims that this companion has read
+     * @param settings terms and intervals
      */
-    public TargetOrders(TargetKey target, long holder, OrderLedger ledger, OrderTerms terms) {
+    public TargetOrders(TargetKey target, long holder, OrderLedger ledger, OrderSettings settings) {
         this.target = target;
         this.claimant = new OrderLedger.Claimant(target, holder);
         this.ledger = ledger;
-        this.terms = terms;
-        this.lease = new HeldRecord(terms.leaseMicros());
-        this.claim = new HeldRecord(terms.loadMicros());
+        this.settings = settings;
+        this.lease = new LogBackedLease(settings.leaseTermMicros());
+        this.claim = new LogBackedLease(settings.loadTermMicros());
     }
 
-    /** Sets what the target should hold. */
-    public void want(DesiredState state) {
+    /** Sets the desired state of the target. */
+    public void setDesired(DesiredState state) {
         if (!state.equals(desired)) {
-            foreignAllowed = true;
+            mayOverrideForeign = true;
         }
         desired = state;
     }
 
-    /** Takes the weight version that the target reports as active. */
-    public void reported(String version, long nowMicros) {
+    /** Handles a report of the active weight version. */
+    public void onVersionReported(String version, long nowMicros) {
         reportedVersion = Optional.of(version);
         boolean deviates = desired != null && !version.equals(desired.version());
-        deviatesSinceMicros = deviates ? Math.min(deviatesSinceMicros, nowMicros) : Long.MAX_VALUE;
+        deviatingSinceMicros = deviates ? Math.min(deviatingSinceMicros, nowMicros) : Long.MAX_VALUE;
     }
 
-    /** Takes back one of this companion's own records. */
-    public void readBack(LogEntry entry, long offset, long nowMicros) {
+    /** Handles a record of this companion that was read back from the log. */
+    public void onReadBack(LogEntry entry, long offset, long nowMicros) {
         if (entry instanceof LogEntry.OrderLease) {
-            lease.readBack(entry, offset, nowMicros);
+            lease.onReadBack(entry, offset, nowMicros);
         } else if (entry instanceof LogEntry.LoadClaim) {
-            claim.readBack(entry, offset, nowMicros);
+            claim.onReadBack(entry, offset, nowMicros);
         }
     }
 
-    /** Trusts no lease any more, since this process was paused: others may have taken over meanwhile. */
-    public void paused() {
+    /** Drops the lease after a pause of this process, since another companion may have taken over. */
+    public void onPause() {
         lease.drop();
     }
 
-    /** Takes the answer to an order or to a question about the last one. */
-    public void answered(long fencing, OrderOutcome outcome, long nowMicros, OrderActions actions) {
+    /** Handles the answer to an order or to a query of the last order. */
+    public void onAnswer(long fencing, OrderOutcome outcome, long nowMicros, OrderActions actions) {
         switch (phase) {
-            case ORDERING -> orderAnswered(fencing, outcome, nowMicros, actions);
-            case ASKING, LOADING -> lastAnswered(fencing, outcome, nowMicros, actions);
+            case ORDERING -> onOrderAnswer(fencing, outcome, nowMicros, actions);
+            case QUERYING, LOADING -> onLastOrderAnswer(fencing, outcome, nowMicros, actions);
             default -> {}
         }
     }
 
-    /** Does what is due. */
+    /** Takes the next step if one is due. Called after each event. */
     public void advance(long nowMicros, OrderActions actions) {
         if (desired == null || reportedVersion.isEmpty()) {
             return;
         }
-        if (phase == Phase.SETTLED && shouldChange(nowMicros)) {
-            phase = Phase.WANTED;
+        if (phase == Phase.SETTLED && needsOrder(nowMicros)) {
+            phase = Phase.ACQUIRING;
             lease.drop();
-        } else if (phase == Phase.WANTED && isThere() && !hasPredecessor()) {
-            reached = desired;
+        } else if (phase == Phase.ACQUIRING && reportsDesired() && !hasPredecessorClaim()) {
+            confirmed = desired;
             phase = Phase.SETTLED;
         }
         if (phase == Phase.SETTLED) {
-            giveBack(actions);
+            releaseClaim(actions);
             return;
         }
         if (ledger.hasSuccessor(target, claimant.holder())) {
-            // Failure: a companion that was frozen and its successor take claims and leases from each other for good:
-            // neither gets to order. The one whose first record came earlier stands back until the other's have lapsed.
-            phase = phase == Phase.ORDERING ? Phase.ORDERING : Phase.WANTED;
+            // A companion that was paused and its successor would otherwise take claims and leases from each other
+            // forever, and neither could send an order. The one whose first record is earlier yields until those of the
+            // other have expired.
+            phase = phase == Phase.ORDERING ? Phase.ORDERING : Phase.ACQUIRING;
             return;
         }
-        keepClaim(nowMicros, actions);
+        maintainClaim(nowMicros, actions);
         if (nowMicros < notBeforeMicros) {
             return;
         }
-        if (phase == Phase.WANTED) {
-            prepare(nowMicros, actions);
+        if (phase == Phase.ACQUIRING) {
+            acquire(nowMicros, actions);
         } else if (phase == Phase.LOADING) {
-            ask(Phase.LOADING, nowMicros, actions);
+            queryLastOrder(Phase.LOADING, nowMicros, actions);
         }
     }
 
-    /** Returns whether the target is as desired, as far as is known here. */
+    /** Returns whether the target has reached its desired state, as far as known. */
     public boolean isSettled() {
         return phase == Phase.SETTLED;
     }
 
-    /** Returns whether the target got there without us, as far as its report tells: it doesn't name adapters. */
-    private boolean isThere() {
-        boolean sameBeside = reached == null
-                || reached.model().equals(desired.model()) && reached.adapters().isEmpty();
-        return sameBeside && desired.adapters().isEmpty() && desired.version().equals(reportedVersion.get());
+    /**
+     * Returns whether the target reports the desired state without an order of ours. Reports don't name adapters, so
+     * this is only known if none are involved.
+     */
+    private boolean reportsDesired() {
+        boolean sameExceptVersion = confirmed == null
+                || confirmed.model().equals(desired.model())
+                        && confirmed.adapters().isEmpty();
+        return sameExceptVersion
+                && desired.adapters().isEmpty()
+                && desired.version().equals(reportedVersion.get());
     }
 
-    /** Returns whether an earlier companion of this target left a claim, perhaps with a load that still runs. */
-    private boolean hasPredecessor() {
-        return !ledger.othersClaims(claimant).isEmpty() && !ledger.hasSuccessor(target, claimant.holder());
+    /** Returns whether an earlier companion of this target left a claim, whose load may still be running. */
+    private boolean hasPredecessorClaim() {
+        return !ledger.claimsOfOthers(claimant).isEmpty() && !ledger.hasSuccessor(target, claimant.holder());
     }
 
-    private boolean shouldChange(long nowMicros) {
-        if (hasPredecessor()) {
+    private boolean needsOrder(long nowMicros) {
+        if (hasPredecessorClaim()) {
             return true;
         }
-        if (reached == null) {
-            // A companion that was replaced doesn't know which adapters are loaded: it orders the state once more.
-            return !isThere();
+        if (confirmed == null) {
+            // A companion that has just started doesn't know which adapters are loaded, and sends the order once more.
+            return !reportsDesired();
         }
-        boolean deviates = nowMicros - deviatesSinceMicros >= terms.settleMicros();
-        return !reached.equals(desired) || deviatesSinceMicros != Long.MAX_VALUE && deviates;
+        boolean deviates = nowMicros - deviatingSinceMicros >= settings.deviationGraceMicros();
+        return !confirmed.equals(desired) || deviatingSinceMicros != Long.MAX_VALUE && deviates;
     }
 
-    private void prepare(long nowMicros, OrderActions actions) {
-        if (!mayLoad(nowMicros) && !hasPredecessor()) {
+    private void acquire(long nowMicros, OrderActions actions) {
+        if (!mayLoad(nowMicros) && !hasPredecessorClaim()) {
             return;
         }
-        // Two companions of one target, the older one thawed, would supersede each other's leases for good if each took
-        // a new one while the other's still runs.
-        if (lease.wantsRenewal(nowMicros) && ledger.isFree(target, claimant.holder())) {
+        // If each took a new lease while the other's is unexpired, two companions of one target, of which the older one
+        // has resumed after a pause, would supersede each other's leases forever.
+        if (lease.needsRenewal(nowMicros) && ledger.isFreeFor(target, claimant.holder())) {
             LogEntry entry = new LogEntry.OrderLease(
-                    target.service(), target.target(), claimant.holder(), terms.leaseMicros() / MICROS_PER_MILLI);
+                    target.service(),
+                    target.target(),
+                    claimant.holder(),
+                    settings.leaseTermMicros() / MICROS_PER_MILLI);
             if (actions.append(entry)) {
-                lease.sent(entry, nowMicros);
-                note("order_lease_asked", actions);
+                lease.onSent(entry, nowMicros);
+                logEvent("order_lease_asked", actions);
             }
         }
         if (mayOrder(nowMicros)) {
-            ask(Phase.ASKING, nowMicros, actions);
+            queryLastOrder(Phase.QUERYING, nowMicros, actions);
         }
     }
 
-    /** Keeps the claim alive from the wish to the end of the load. Once lapsed it is made anew, behind others. */
-    private void keepClaim(long nowMicros, OrderActions actions) {
-        // A successor may have given back the claim of this companion when it seemed gone.
-        boolean taken = claim.holds(nowMicros) && !claim.isOnItsWay() && !ledger.hasClaim(claimant);
-        if (!taken && !claim.wantsRenewal(nowMicros)) {
+    /**
+     * Renews the claim from the time at which an order is needed to the end of the load. An expired claim is appended
+     * again, behind the claims of others.
+     */
+    private void maintainClaim(long nowMicros, OrderActions actions) {
+        // A successor may have released the claim of this companion when it seemed dead.
+        boolean releasedByOther = claim.isHeld(nowMicros) && !claim.isPending() && !ledger.hasClaim(claimant);
+        if (!releasedByOther && !claim.needsRenewal(nowMicros)) {
             return;
         }
-        if (!claim.holds(nowMicros) && claim.offset() != 0) {
-            // Some readers may have counted it as lapsed and others not: given back first, it has one place for all.
-            actions.append(release(claimant));
+        if (!claim.isHeld(nowMicros) && claim.offset() != 0) {
+            // Some readers may have seen it expire and others not. Releasing it first gives it one position for all.
+            actions.append(releaseEntry(claimant));
         }
         LogEntry entry = new LogEntry.LoadClaim(
-                target.service(), target.target(), claimant.holder(), terms.loadMicros() / MICROS_PER_MILLI);
+                target.service(), target.target(), claimant.holder(), settings.loadTermMicros() / MICROS_PER_MILLI);
         if (actions.append(entry)) {
-            claim.sent(entry, nowMicros);
+            claim.onSent(entry, nowMicros);
         }
     }
 
-    private void giveBack(OrderActions actions) {
-        // Also a claim that was on its way when it was no longer needed: in the log it would hold up others.
-        if (ledger.hasClaim(claimant) && !claim.isOnItsWay() && claim.offset() != releasedOffset) {
-            if (actions.append(release(claimant))) {
+    private void releaseClaim(OrderActions actions) {
+        // This includes a claim that was pending when it was no longer needed: in the log it would block others.
+        if (ledger.hasClaim(claimant) && !claim.isPending() && claim.offset() != releasedOffset) {
+            if (actions.append(releaseEntry(claimant))) {
                 releasedOffset = claim.offset();
                 claim.drop();
             }
         }
     }
 
-    private LogEntry release(OrderLedger.Claimant claimed) {
+    private LogEntry releaseEntry(OrderLedger.Claimant claimed) {
         return new LogEntry.LoadRelease(target.service(), target.target(), claimed.holder());
     }
 
     /**
-     * Failure: a holder that was frozen gives an order after another has taken over. It shows as a target that returns
-     * to an older state. The holder's own term, counted from before it asked for the lease, ends before the term that
-     * any later holder counts from reading it; and each waits until all leases of others before its own have lapsed.
+     * Returns whether this companion may send an order now.
+     *
+     * <p>This guards against a holder that was paused and sends an order after another has taken over, so that the
+     * target returns to an older state. The holder's own term counts from the time before it requested the lease, and
+     * ends before the term that any later holder counts from reading it. Each holder also waits until all earlier
+     * leases of others have expired.
      */
     private boolean mayOrder(long nowMicros) {
-        return lease.holds(nowMicros) && ledger.isAlone(target) && !ledger.hasSuccessor(target, claimant.holder());
+        return lease.isHeld(nowMicros)
+                && ledger.haveOthersExpired(target)
+                && !ledger.hasSuccessor(target, claimant.holder());
     }
 
     private boolean mayLoad(long nowMicros) {
-        return claim.holds(nowMicros) && ledger.mayLoad(claimant);
+        return claim.isHeld(nowMicros) && ledger.mayLoad(claimant);
     }
 
-    private void ask(Phase next, long nowMicros, OrderActions actions) {
+    private void queryLastOrder(Phase next, long nowMicros, OrderActions actions) {
         phase = next;
-        notBeforeMicros = nowMicros + terms.pollMicros();
-        actions.askLast();
+        notBeforeMicros = nowMicros + settings.pollIntervalMicros();
+        actions.queryLastOrder();
     }
 
-    private void lastAnswered(long fencing, OrderOutcome outcome, long nowMicros, OrderActions actions) {
+    private void onLastOrderAnswer(long fencing, OrderOutcome outcome, long nowMicros, OrderActions actions) {
         if (outcome == OrderOutcome.LOST) {
-            retry(phase == Phase.LOADING ? Phase.LOADING : Phase.WANTED, terms.pollMicros(), nowMicros);
+            retry(phase == Phase.LOADING ? Phase.LOADING : Phase.ACQUIRING, settings.pollIntervalMicros(), nowMicros);
             return;
         }
         if (outcome == OrderOutcome.STARTED) {
@@ -253,104 +272,110 @@
             return;
         }
         if (fencing == orderedFencing && ordered != null && outcome == OrderOutcome.DONE) {
-            reach(actions);
+            onDone(actions);
             return;
         }
         if (fencing > lease.offset()) {
-            superseded(fencing, nowMicros, actions);
+            onSuperseded(fencing, nowMicros, actions);
             return;
         }
-        if (isForeign(fencing) && !foreignAllowed) {
-            foreign(fencing, nowMicros, actions);
+        if (isForeign(fencing) && !mayOverrideForeign) {
+            onForeignOrder(fencing, nowMicros, actions);
             return;
         }
         if (mayOrder(nowMicros)) {
-            // The companion before us can't order any more and its load isn't running: its claim holds up others.
-            ledger.othersClaims(claimant).forEach(each -> releasePredecessor(each, actions));
+            // The predecessor can't send orders any more and its load isn't running: its claim only blocks others.
+            ledger.claimsOfOthers(claimant).forEach(each -> releasePredecessor(each, actions));
         }
-        if (isThere()) {
-            retry(Phase.WANTED, terms.pollMicros(), nowMicros);
+        if (reportsDesired()) {
+            retry(Phase.ACQUIRING, settings.pollIntervalMicros(), nowMicros);
             return;
         }
         if (mayOrder(nowMicros) && mayLoad(nowMicros)) {
             ordered = desired;
-            foreignAllowed = false;
+            mayOverrideForeign = false;
             orderedFencing = lease.offset();
             phase = Phase.ORDERING;
-            actions.give(orderedFencing, ordered);
-            note("order_given", actions, "version", ordered.version(), "fencing", Long.toString(orderedFencing));
+            actions.sendOrder(orderedFencing, ordered);
+            logEvent("order_given", actions, "version", ordered.version(), "fencing", Long.toString(orderedFencing));
             return;
         }
-        retry(Phase.WANTED, terms.pollMicros(), nowMicros);
+        retry(Phase.ACQUIRING, settings.pollIntervalMicros(), nowMicros);
     }
 
     private void releasePredecessor(OrderLedger.Claimant predecessor, OrderActions actions) {
-        if (actions.append(release(predecessor))) {
-            note("order_claim_of_predecessor_released", actions, "holder", Long.toHexString(predecessor.holder()));
+        if (actions.append(releaseEntry(predecessor))) {
+            logEvent("order_claim_of_predecessor_released", actions, "holder", Long.toHexString(predecessor.holder()));
         }
     }
 
-    private void orderAnswered(long fencing, OrderOutcome outcome, long nowMicros, OrderActions actions) {
+    private void onOrderAnswer(long fencing, OrderOutcome outcome, long nowMicros, OrderActions actions) {
         if (fencing != orderedFencing) {
             return;
         }
         switch (outcome) {
-            case DONE -> reach(actions);
-            case STARTED -> retry(Phase.LOADING, terms.pollMicros(), nowMicros);
-            // It may have taken effect: the target is asked before anything else.
-            case LOST -> retry(Phase.WANTED, terms.pollMicros(), nowMicros);
-            case FENCED -> superseded(fencing, nowMicros, actions);
-            default -> refused(nowMicros, actions);
+            case DONE -> onDone(actions);
+            case STARTED -> retry(Phase.LOADING, settings.pollIntervalMicros(), nowMicros);
+            // The order may have taken effect, so the target is queried first.
+            case LOST -> retry(Phase.ACQUIRING, settings.pollIntervalMicros(), nowMicros);
+            case FENCED -> onSuperseded(fencing, nowMicros, actions);
+            default -> onRefused(nowMicros, actions);
         }
     }
 
-    private void reach(OrderActions actions) {
-        note("order_done", actions, "version", ordered.version(), "fencing", Long.toString(orderedFencing));
-        reached = ordered;
+    private void onDone(OrderActions actions) {
+        logEvent("order_done", actions, "version", ordered.version(), "fencing", Long.toString(orderedFencing));
+        confirmed = ordered;
         ordered = null;
         refusals = 0;
-        deviatesSinceMicros = Long.MAX_VALUE;
+        deviatingSinceMicros = Long.MAX_VALUE;
         phase = Phase.SETTLED;
     }
 
-    /** Another lease has been used at the target: a new one is needed, behind it in the log. */
-    private void superseded(long fencing, long nowMicros, OrderActions actions) {
+    /** Handles an order of a newer lease at the target: a new lease is needed, at a later log offset. */
+    private void onSuperseded(long fencing, long nowMicros, OrderActions actions) {
         lease.drop();
-        boolean ours = ledger.lease(target)
+        boolean leaseIsOurs = ledger.lease(target)
                 .filter(each -> each.holder() == claimant.holder())
                 .isPresent();
-        if (ours) {
-            foreign(fencing, nowMicros, actions);
+        if (leaseIsOurs) {
+            onForeignOrder(fencing, nowMicros, actions);
         } else {
-            retry(Phase.WANTED, terms.pollMicros(), nowMicros);
+            retry(Phase.ACQUIRING, settings.pollIntervalMicros(), nowMicros);
         }
     }
 
-    /** Returns whether the number of the target's last order is newer than ours and belongs to no lease of it. */
+    /**
+     * Returns whether the fencing number of the target's last order is newer than ours and belongs to no lease of the
+     * target.
+     */
     private boolean isForeign(long fencing) {
-        return orderedFencing != 0 && fencing > orderedFencing && !ledger.isLeaseOf(target, fencing);
+        return orderedFencing != 0 && fencing > orderedFencing && !ledger.isRecentLeaseOffset(target, fencing);
     }
 
     /**
-     * Failure: documents name one target twice, under two names or with two companions. It shows as a target that loads
-     * one version after the other, all day, since each companion undoes the other's order. The number of the last order
-     * is no lease of this target, so this companion stops, tells operators, and orders again after a new document.
+     * Handles an order that was sent under another name of the target.
+     *
+     * <p>If documents list one target twice, under two names or with two companions, each companion overrides the
+     * other's order and the target keeps loading one version after the other. The fencing number of the last order then
+     * belongs to no lease of this target. So this companion backs off, logs an event for operators, and sends an order
+     * again only after a new document.
      */
-    private void foreign(long fencing, long nowMicros, OrderActions actions) {
-        note("foreign_order", actions, "fencing", Long.toString(fencing));
+    private void onForeignOrder(long fencing, long nowMicros, OrderActions actions) {
+        logEvent("foreign_order", actions, "fencing", Long.toString(fencing));
         backOff(nowMicros);
     }
 
-    private void refused(long nowMicros, OrderActions actions) {
-        note("order_refused", actions, "version", ordered.version());
+    private void onRefused(long nowMicros, OrderActions actions) {
+        logEvent("order_refused", actions, "version", ordered.version());
         ordered = null;
         backOff(nowMicros);
     }
 
     private void backOff(long nowMicros) {
-        long wait = terms.backoffMicros() << Math.min(refusals, LARGEST_DOUBLING);
+        long wait = settings.baseBackoffMicros() << Math.min(refusals, MAX_BACKOFF_DOUBLINGS);
         refusals++;
-        retry(Phase.WANTED, wait, nowMicros);
+        retry(Phase.ACQUIRING, wait, nowMicros);
     }
 
     private void retry(Phase next, long waitMicros, long nowMicros) {
@@ -358,8 +383,8 @@
         notBeforeMicros = nowMicros + waitMicros;
     }
 
-    private void note(String event, OrderActions actions, String... fields) {
-        actions.note(
+    private void logEvent(String event, OrderActions actions, String... fields) {
+        actions.logEvent(
                 event,
                 Stream.concat(Stream.of("target", target.target().value()), Arrays.stream(fields))
                         .toArray(String[]::new));
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/orders/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/orders/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Orders to targets: who may give them, in which order they count, and how many load weights at once.
+ * Orders to targets: which companion may send them, their fencing, and the limit on concurrent weight loads.
  *
- * <p>Front class: {@link org.rattanrudder.core.orders.TargetOrders}, one for each target.
+ * <p>Entry point: {@link org.rattanrudder.core.orders.TargetOrders}, one for each target.
  */
 package org.rattanrudder.core.orders;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/orders/OrderLedgerTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/orders/OrderLedgerTest.java
@@ -19,93 +19,94 @@
     private static final TargetKey KEY = new TargetKey(SERVICE, ENGINE);
     private static final long MINE = 8;
     private static final long OTHER = 7;
-    private static final OrderTerms TERMS = OrderWorld.TERMS;
+    private static final OrderSettings SETTINGS = OrderSimulation.SETTINGS;
 
     private final OrderLedger ledger = new OrderLedger();
 
     @Test
-    void aCopyOfAClaimBehindItsReleaseClaimsNothing() {
-        // Engines of a service wait a quarter of an hour for nothing. An append whose answer was lost was sent again
-        // and
-        // its copy landed behind the release, so a place was taken by a load that had long ended.
+    void duplicateClaimAfterItsReleaseIsIgnored() {
+        // An append whose answer was lost is sent again, and its duplicate lands behind the release. If it counted, a
+        // load that has ended would block the other engines of the service for a quarter of an hour.
         LogBatch claim = new LogBatch(MINE, 1, List.of(claim(MINE)));
-        ledger.take(new LogRecord(1, claim), 0);
-        ledger.take(new LogRecord(2, new LogBatch(MINE, 2, List.of(release(MINE)))), 1);
-        ledger.take(new LogRecord(3, claim), 2);
+        ledger.apply(new LogRecord(1, claim), 0);
+        ledger.apply(new LogRecord(2, new LogBatch(MINE, 2, List.of(release(MINE)))), 1);
+        ledger.apply(new LogRecord(3, claim), 2);
         assertThat(ledger.hasClaim(new OrderLedger.Claimant(KEY, MINE))).isFalse();
     }
 
     @Test
-    void anEndThatWasReadBeforeAPauseLetsNothingLapse() {
-        // Three engines load at once. A companion that waited for its turn was frozen with an answer of the log unread;
-        // thawed, it took that for the log's end, and the claims before its own, renewed meanwhile, for lapsed.
-        long lapse = OrderTerms.othersWait(TERMS.loadMicros());
+    void logEndReadBeforeAPauseExpiresNothing() {
+        // A companion that waits for its load is paused with an unread result of a log read. If it took that for the
+        // present end of the log, claims that were renewed meanwhile would seem expired and a third engine would load.
+        long expiryMicros = OrderSettings.observedTermMicros(SETTINGS.loadTermMicros());
         OrderLedger.Claimant mine = new OrderLedger.Claimant(KEY, MINE);
-        ledger.take(new LogRecord(1, new LogBatch(5, 1, List.of(claim(5)))), 0);
-        ledger.take(new LogRecord(2, new LogBatch(6, 1, List.of(claim(6)))), 0);
-        ledger.take(new LogRecord(3, new LogBatch(MINE, 1, List.of(claim(MINE)))), lapse / 2);
-        ledger.paused(lapse + 1, TERMS.doubtMicros());
-        ledger.reachedEnd(lapse + 1);
-        ledger.take(new LogRecord(4, new LogBatch(5, 2, List.of(claim(5)))), lapse + 2);
-        ledger.take(new LogRecord(5, new LogBatch(6, 2, List.of(claim(6)))), lapse + 2);
+        ledger.apply(new LogRecord(1, new LogBatch(5, 1, List.of(claim(5)))), 0);
+        ledger.apply(new LogRecord(2, new LogBatch(6, 1, List.of(claim(6)))), 0);
+        ledger.apply(new LogRecord(3, new LogBatch(MINE, 1, List.of(claim(MINE)))), expiryMicros / 2);
+        ledger.onPause(expiryMicros + 1, SETTINGS.staleReadMicros());
+        ledger.onEndReached(expiryMicros + 1);
+        ledger.apply(new LogRecord(4, new LogBatch(5, 2, List.of(claim(5)))), expiryMicros + 2);
+        ledger.apply(new LogRecord(5, new LogBatch(6, 2, List.of(claim(6)))), expiryMicros + 2);
         assertThat(ledger.mayLoad(mine)).isFalse();
-        ledger.reachedEnd(lapse + 1 + TERMS.doubtMicros());
+        ledger.onEndReached(expiryMicros + 1 + SETTINGS.staleReadMicros());
         assertThat(ledger.mayLoad(mine)).isFalse();
     }
 
-    @ParameterizedTest(name = "renewal read back after {0} of the term: still held {1}")
+    @ParameterizedTest(name = "renewal read back after {0} of the term: held {1}")
     @CsvSource({"0.9, true", "1.1, false"})
-    void aRenewalThatIsReadBackAfterTheTermHoldsNothing(double share, boolean held) {
-        // Three engines load at once. A claim's renewal was slow; others had counted the claim as lapsed and taken its
-        // place before the renewal got into the log, and its holder went on by the old place.
-        HeldRecord record = new HeldRecord(1_000);
-        record.sent(claim(MINE), 0);
-        record.readBack(claim(MINE), 1, 10);
-        record.sent(claim(MINE), 500);
-        long readMicros = Math.round(1_000 * share);
-        record.readBack(claim(MINE), 2, readMicros);
-        assertThat(record.holds(readMicros)).isEqualTo(held);
+    void renewalReadBackAfterTheTermIsNotHeld(double termShare, boolean held) {
+        // The renewal of a claim is slow, and others take its position before the renewal reaches the log. If the
+        // holder kept the old position, three engines would load.
+        LogBackedLease record = new LogBackedLease(1_000);
+        record.onSent(claim(MINE), 0);
+        record.onReadBack(claim(MINE), 1, 10);
+        record.onSent(claim(MINE), 500);
+        long readMicros = Math.round(1_000 * termShare);
+        record.onReadBack(claim(MINE), 2, readMicros);
+        assertThat(record.isHeld(readMicros)).isEqualTo(held);
     }
 
     @Test
-    void aLeaseThatFollowsAnothersWaitsUntilThatOneHasLapsed() {
-        // A target that doesn't check numbers goes back to an older state. Two companions asked for the lease at the
-        // same
-        // time; the second had it read back while the first, whose reading lagged, was about to order.
-        TargetOrders orders = new TargetOrders(KEY, MINE, ledger, TERMS);
+    void leaseWaitsUntilThePreviousHoldersLeaseHasExpired() {
+        // Two companions request the lease at the same time. The second reads its lease back while the first, whose
+        // reads lag, is about to send an order. A target that doesn't check fencing numbers would return to an older
+        // state.
+        TargetOrders orders = new TargetOrders(KEY, MINE, ledger, SETTINGS);
         Recorder actions = new Recorder();
-        orders.want(OrderWorld.state("v1"));
-        orders.reported("v0", 0);
-        ledger.take(new LogRecord(1, new LogBatch(OTHER, 1, List.of(claim(OTHER), release(OTHER)))), 0);
-        ledger.reachedEnd(0);
+        orders.setDesired(OrderSimulation.state("v1"));
+        orders.onVersionReported("v0", 0);
+        ledger.apply(new LogRecord(1, new LogBatch(OTHER, 1, List.of(claim(OTHER), release(OTHER)))), 0);
+        ledger.onEndReached(0);
         orders.advance(0, actions);
         readBack(orders, 2, actions, 0);
         orders.advance(0, actions);
-        ledger.take(new LogRecord(3, new LogBatch(OTHER, 2, List.of(lease(OTHER)))), 0);
+        ledger.apply(new LogRecord(3, new LogBatch(OTHER, 2, List.of(lease(OTHER)))), 0);
         readBack(orders, 4, actions, 0);
         orders.advance(0, actions);
-        assertThat(actions.asked).as("asked while the other's lease runs").isZero();
-        long lapsed = OrderTerms.othersWait(TERMS.leaseMicros());
-        for (long now = 0; now <= 2 * lapsed && actions.asked == 0; now += OrderWorld.TICK) {
-            ledger.reachedEnd(now);
+        assertThat(actions.queryCount)
+                .as("queries while the other's lease is unexpired")
+                .isZero();
+        long expiryMicros = OrderSettings.observedTermMicros(SETTINGS.leaseTermMicros());
+        for (long now = 0; now <= 2 * expiryMicros && actions.queryCount == 0; now += OrderSimulation.TICK_MICROS) {
+            ledger.onEndReached(now);
             orders.advance(now, actions);
             readBack(orders, 5 + now, actions, now);
-            assertThat(actions.asked == 0 || now >= lapsed).isTrue();
+            assertThat(actions.queryCount == 0 || now >= expiryMicros).isTrue();
         }
-        assertThat(actions.asked).isPositive();
+        assertThat(actions.queryCount).isPositive();
     }
 
     private void readBack(TargetOrders orders, long offset, Recorder actions, long now) {
         List<LogEntry> sent = List.copyOf(actions.sent);
         actions.sent.clear();
         if (!sent.isEmpty()) {
-            ledger.take(new LogRecord(offset, new LogBatch(MINE, offset, sent)), now);
-            sent.forEach(entry -> orders.readBack(entry, offset, now));
+            ledger.apply(new LogRecord(offset, new LogBatch(MINE, offset, sent)), now);
+            sent.forEach(entry -> orders.onReadBack(entry, offset, now));
         }
     }
 
     private static LogEntry.LoadClaim claim(long holder) {
-        return new LogEntry.LoadClaim(SERVICE, ENGINE, holder, TERMS.loadMicros() / 1_000);
+        return new LogEntry.LoadClaim(SERVICE, ENGINE, holder, SETTINGS.loadTermMicros() / 1_000);
     }
 
     private static LogEntry.LoadRelease release(long holder) {
@@ -113,13 +114,13 @@
     }
 
     private static LogEntry.OrderLease lease(long holder) {
-        return new LogEntry.OrderLease(SERVICE, ENGINE, holder, TERMS.leaseMicros() / 1_000);
+        return new LogEntry.OrderLease(SERVICE, ENGINE, holder, SETTINGS.leaseTermMicros() / 1_000);
     }
 
-    /** Keeps what was asked for. */
+    /** Records the requested actions. */
     private static final class Recorder implements OrderActions {
         private final List<LogEntry> sent = new ArrayList<>();
-        private int asked;
+        private int queryCount;
 
         @Override
         public boolean append(LogEntry entry) {
@@ -127,14 +128,14 @@
         }
 
         @Override
-        public void give(long fencing, DesiredState state) {}
+        public void sendOrder(long fencing, DesiredState state) {}
 
         @Override
-        public void askLast() {
-            asked++;
+        public void queryLastOrder() {
+            queryCount++;
         }
 
         @Override
-        public void note(String event, String... fields) {}
+        public void logEvent(String event, String... fields) {}
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/orders/OrderWorld.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/orders/OrderSimulation.java
@@ -14,22 +14,26 @@
 import org.rattanrudder.core.model.ServiceName;
 import org.rattanrudder.core.model.TargetName;
 
-/** Companions, engines and a log in one thread: appends and orders are delayed, lost and, for appends, doubled. */
-final class OrderWorld {
+/**
+ * Simulates companions, engines and a log in one thread. Appends and orders are delayed or lost, and appends
+ * duplicated.
+ */
+final class OrderSimulation {
     static final ServiceName SERVICE = new ServiceName("palivo-llm");
-    static final long TICK = 50_000;
-    static final OrderTerms TERMS = new OrderTerms(2_000_000, 12_000_000, 1_000_000, 200_000, 3_000_000, 500_000);
+    static final long TICK_MICROS = 50_000;
+    static final OrderSettings SETTINGS =
+            new OrderSettings(2_000_000, 12_000_000, 1_000_000, 200_000, 3_000_000, 500_000);
 
     final Random random;
     final List<LogRecord> log = new ArrayList<>();
     final List<Engine> engines = new ArrayList<>();
     final List<Companion> companions = new ArrayList<>();
-    long now;
+    long nowMicros;
     boolean logDown;
-    int mostLoads;
+    int maxConcurrentLoads;
     private long incarnations;
 
-    OrderWorld(long seed) {
+    OrderSimulation(long seed) {
         random = new Random(seed);
     }
 
@@ -43,58 +47,58 @@
         return companion(engine, engine.name.value());
     }
 
-    /** Returns a companion whose document knows the engine by this name. */
+    /** Returns a companion whose document lists the engine under this name. */
     Companion companion(Engine engine, String name) {
         Companion companion = new Companion(engine, new TargetName(name), ++incarnations);
         companions.add(companion);
         return companion;
     }
 
-    /** Starts a companion anew for the same engine; the one before may be frozen, and thaw later. */
+    /** Starts a successor for the same engine; the predecessor may be frozen, and resume later. */
     void replace(Companion before) {
         Companion after = companion(before.engine, before.target.value());
-        if (before.wanted != null) {
-            after.want(before.wanted);
+        if (before.desired != null) {
+            after.setDesired(before.desired);
         }
     }
 
-    /** Lets time pass in ticks of all companions that aren't frozen. */
-    void pass(long micros) {
-        long end = now + micros;
-        while (now < end) {
-            now += TICK;
+    /** Advances the clock and ticks all companions that aren't frozen. */
+    void advance(long micros) {
+        long end = nowMicros + micros;
+        while (nowMicros < end) {
+            nowMicros += TICK_MICROS;
             engines.forEach(Engine::tick);
-            mostLoads = Math.max(mostLoads, (int)
+            maxConcurrentLoads = Math.max(maxConcurrentLoads, (int)
                     engines.stream().filter(engine -> engine.loading != null).count());
-            companions.forEach(Companion::deliver);
+            companions.forEach(Companion::deliverCalls);
             companions.stream().filter(each -> !each.frozen).forEach(Companion::tick);
         }
     }
 
-    void desire(String version) {
-        companions.forEach(each -> each.want(state(version)));
+    void setDesired(String version) {
+        companions.forEach(each -> each.setDesired(state(version)));
     }
 
     static DesiredState state(String version) {
         return new DesiredState("palivo", version, List.of());
     }
 
-    /** An engine that loads for a while, checks fencing or not, and records each order that took effect. */
+    /** An engine whose loads take some time and that records the fencing number of each order that took effect. */
     final class Engine {
         final TargetName name;
         final boolean checksFencing;
-        final List<Long> effective = new ArrayList<>();
+        final List<Long> effectiveOrders = new ArrayList<>();
         String version = "v0";
         DesiredState loading;
         long fencing;
-        private final long loadMicros;
+        private final long loadDurationMicros;
         private long doneMicros;
-        private DesiredState last;
+        private DesiredState lastOrderState;
 
         Engine(TargetName name, boolean checksFencing, long loadMicros) {
             this.name = name;
             this.checksFencing = checksFencing;
-            this.loadMicros = loadMicros;
+            this.loadDurationMicros = loadMicros;
         }
 
         OrderOutcome order(long number, DesiredState state) {
@@ -102,78 +106,78 @@
                 return OrderOutcome.FENCED;
             }
             fencing = number;
-            effective.add(number);
-            last = state;
+            effectiveOrders.add(number);
+            lastOrderState = state;
             if (state.version().equals(version) && loading == null) {
                 return OrderOutcome.DONE;
             }
             loading = state;
-            doneMicros = now + loadMicros;
+            doneMicros = nowMicros + loadDurationMicros;
             return OrderOutcome.STARTED;
         }
 
-        OrderOutcome last() {
-            if (last == null) {
+        OrderOutcome lastOrderState() {
+            if (lastOrderState == null) {
                 return OrderOutcome.REFUSED;
             }
             return loading == null ? OrderOutcome.DONE : OrderOutcome.STARTED;
         }
 
         private void tick() {
-            if (loading != null && now >= doneMicros) {
+            if (loading != null && nowMicros >= doneMicros) {
                 version = loading.version();
                 loading = null;
             }
         }
     }
 
-    /** One companion of one engine; it may be frozen with calls on their way. */
+    /** One companion of one engine; it may be frozen with calls in flight. */
     final class Companion implements OrderActions {
         final Engine engine;
         final TargetName target;
         final long incarnation;
         final TargetOrders orders;
-        DesiredState wanted;
-        final List<String> notes = new ArrayList<>();
+        DesiredState desired;
+        final List<String> loggedEvents = new ArrayList<>();
         boolean frozen;
-        /** The share of appends and calls that are lost on the way or back. */
-        double lossy;
+        /** The share of appends and calls whose request or answer is lost. */
+        double lossRatio;
 
         private final OrderLedger ledger = new OrderLedger();
         private final Deque<LogEntry> outgoing = new ArrayDeque<>();
         private final List<Runnable> calls = new ArrayList<>();
         private final List<Runnable> answers = new ArrayList<>();
         private int position;
-        private int lastRead;
+        private int lastReadEnd;
         private long sequence;
-        private long lastTick = Long.MIN_VALUE;
+        private long lastTickMicros = Long.MIN_VALUE;
 
         Companion(Engine engine, TargetName name, long incarnation) {
             this.engine = engine;
             this.target = name;
             this.incarnation = incarnation;
-            this.orders = new TargetOrders(new TargetKey(SERVICE, name), incarnation, ledger, TERMS);
+            this.orders = new TargetOrders(new TargetKey(SERVICE, name), incarnation, ledger, SETTINGS);
         }
 
-        void want(DesiredState state) {
-            wanted = state;
-            orders.want(state);
+        void setDesired(DesiredState state) {
+            desired = state;
+            orders.setDesired(state);
         }
 
-        /** What was sent reaches the engine also while its sender is frozen; the answer waits. */
-        private void deliver() {
+        /** Delivers calls in flight to the engine, also while their sender is frozen; the answers stay pending. */
+        private void deliverCalls() {
             List<Runnable> due = List.copyOf(calls);
             calls.clear();
             due.forEach(Runnable::run);
         }
 
         void tick() {
-            if (lastTick != Long.MIN_VALUE && now - lastTick > TERMS.pauseMicros()) {
-                orders.paused();
-                ledger.paused(now, TERMS.doubtMicros());
-                readBeforeThePause();
+            if (lastTickMicros != Long.MIN_VALUE && nowMicros - lastTickMicros > SETTINGS.pauseThresholdMicros()) {
+                orders.onPause();
+                ledger.onPause(nowMicros, SETTINGS.staleReadMicros());
+                handleStaleRead();
             }
-            lastTick = now;
+            lastTickMicros = nowMicros;
             if (!logDown) {
                 flush();
                 read();
@@ -181,45 +185,45 @@
             List<Runnable> due = List.copyOf(answers);
             answers.clear();
             due.forEach(Runnable::run);
-            orders.reported(engine.version, now);
-            orders.advance(now, this);
+            orders.onVersionReported(engine.version, nowMicros);
+            orders.advance(nowMicros, this);
         }
 
-        /** Handles an answer of the log that came before the pause: its end was the end then. */
-        private void readBeforeThePause() {
-            read(lastRead);
-            ledger.reachedEnd(now);
+        /** Handles the result of a log read from before the pause, with the end of the log at that time. */
+        private void handleStaleRead() {
+            read(lastReadEnd);
+            ledger.onEndReached(nowMicros);
         }
 
-        /** Sends one batch; a lost answer is followed by a second copy. */
+        /** Appends one batch, and a duplicate if the answer was lost. */
         private void flush() {
-            if (outgoing.isEmpty() || lossy > 0 && random.nextDouble() < lossy) {
+            if (outgoing.isEmpty() || lossRatio > 0 && random.nextDouble() < lossRatio) {
                 return;
             }
             List<LogEntry> entries = new ArrayList<>(outgoing);
             outgoing.clear();
             LogBatch batch = new LogBatch(incarnation, ++sequence, entries);
             log.add(new LogRecord(log.size() + 1, batch));
-            if (lossy > 0 && random.nextDouble() < lossy) {
+            if (lossRatio > 0 && random.nextDouble() < lossRatio) {
                 log.add(new LogRecord(log.size() + 1, batch));
             }
         }
 
         private void read() {
-            boolean toEnd = lossy == 0 || random.nextDouble() >= lossy;
+            boolean toEnd = lossRatio == 0 || random.nextDouble() >= lossRatio;
             int end = toEnd ? log.size() : position + random.nextInt(log.size() - position + 1);
             read(end);
-            lastRead = log.size();
+            lastReadEnd = log.size();
             if (toEnd) {
-                ledger.reachedEnd(now);
+                ledger.onEndReached(nowMicros);
             }
         }
 
         private void read(int end) {
             while (position < end) {
                 LogRecord record = log.get(position++);
-                if (ledger.take(record, now) && record.batch().writer() == incarnation) {
-                    record.batch().entries().forEach(entry -> orders.readBack(entry, record.offset(), now));
+                if (ledger.apply(record, nowMicros) && record.batch().writer() == incarnation) {
+                    record.batch().entries().forEach(entry -> orders.onReadBack(entry, record.offset(), nowMicros));
                 }
             }
         }
@@ -234,42 +238,42 @@
         }
 
         @Override
-        public void give(long fencing, DesiredState state) {
+        public void sendOrder(long fencing, DesiredState state) {
             calls.add(() -> {
-                boolean reaches = random.nextDouble() >= lossy;
+                boolean reaches = random.nextDouble() >= lossRatio;
                 answer(fencing, reaches ? engine.order(fencing, state) : OrderOutcome.LOST);
             });
         }
 
         @Override
-        public void askLast() {
+        public void queryLastOrder() {
             calls.add(() -> {
                 long fencing = engine.fencing;
-                answer(fencing, engine.last());
+                answer(fencing, engine.lastOrderState());
             });
         }
 
         @Override
-        public void note(String event, String... fields) {
-            notes.add(event);
+        public void logEvent(String event, String... fields) {
+            loggedEvents.add(event);
         }
 
         private void answer(long fencing, OrderOutcome outcome) {
-            boolean lost = random.nextDouble() < lossy;
-            answers.add(() -> orders.answered(fencing, lost ? OrderOutcome.LOST : outcome, now, this));
+            boolean lost = random.nextDouble() < lossRatio;
+            answers.add(() -> orders.onAnswer(fencing, lost ? OrderOutcome.LOST : outcome, nowMicros, this));
         }
     }
 
-    /** Returns how many leases the log holds. */
-    long leases() {
+    /** Returns the number of leases in the log. */
+    long countLeases() {
         return log.stream()
                 .flatMap(record -> record.batch().entries().stream())
                 .filter(LogEntry.OrderLease.class::isInstance)
                 .count();
     }
 
-    /** Returns how often each version stands among the engines. */
-    Map<String, Integer> versions() {
+    /** Returns the number of engines of each version. */
+    Map<String, Integer> countVersions() {
         Map<String, Integer> versions = new HashMap<>();
         engines.forEach(engine -> versions.merge(engine.version, 1, Integer::sum));
         return versions;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/orders/TargetOrdersPropertyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/orders/TargetOrdersPropertyTest.java
@@ -8,27 +8,29 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Random histories: companions freeze, thaw and are replaced while engines load; appends and orders are lost, doubled
- * and read late; the log goes down; documents change.
+ * Random histories: companions freeze, resume and are replaced while engines load; appends and orders are lost,
+ * duplicated and read late; the log becomes unavailable; documents change.
  */
 class TargetOrdersPropertyTest {
     private static final long SECOND = 1_000_000;
 
     @Property(seed = "20262", tries = 150)
-    void ordersTakeEffectInTheLogsOrderAndNoMoreThanTwoLoadAtOnce(
+    void ordersTakeEffectInLogOrderAndAtMostTwoEnginesLoad(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 5) int engines) {
-        OrderWorld world = run(seed, engines);
-        assertThat(world.mostLoads).as("loads at once").isLessThanOrEqualTo(OrderLedger.LOADS_AT_ONCE);
-        for (OrderWorld.Engine engine : world.engines) {
-            assertThat(engine.effective)
-                    .as("numbers of the orders that took effect")
+        OrderSimulation world = run(seed, engines);
+        assertThat(world.maxConcurrentLoads)
+                .as("concurrent loads")
+                .isLessThanOrEqualTo(OrderLedger.MAX_CONCURRENT_LOADS);
+        for (OrderSimulation.Engine engine : world.engines) {
+            assertThat(engine.effectiveOrders)
+                    .as("fencing numbers of the orders that took effect")
                     .isSorted();
         }
-        assertThat(world.versions()).as("state reached in the end").isEqualTo(Map.of("last", engines));
+        assertThat(world.countVersions()).as("final versions").isEqualTo(Map.of("last", engines));
     }
 
-    static OrderWorld run(long seed, int engines) {
-        OrderWorld world = new OrderWorld(seed);
+    static OrderSimulation run(long seed, int engines) {
+        OrderSimulation world = new OrderSimulation(seed);
         for (int count = 0; count < engines; count++) {
             world.companion(world.engine(world.random.nextBoolean(), (1 + world.random.nextInt(4)) * SECOND));
         }
@@ -37,34 +39,34 @@
             disturb(world);
             if (world.random.nextInt(5) == 0) {
                 version++;
-                world.desire("v" + version);
+                world.setDesired("v" + version);
             }
-            world.pass(world.random.nextInt(40) * OrderWorld.TICK);
+            world.advance(world.random.nextInt(40) * OrderSimulation.TICK_MICROS);
         }
-        calm(world);
-        world.desire("last");
-        world.pass(120 * SECOND);
+        stabilize(world);
+        world.setDesired("last");
+        world.advance(120 * SECOND);
         return world;
     }
 
-    private static void disturb(OrderWorld world) {
-        OrderWorld.Companion any = world.companions.get(world.random.nextInt(world.companions.size()));
+    private static void disturb(OrderSimulation world) {
+        OrderSimulation.Companion any = world.companions.get(world.random.nextInt(world.companions.size()));
         switch (world.random.nextInt(8)) {
             case 0 -> any.frozen = true;
             case 1, 2 -> any.frozen = false;
-            case 3 -> any.lossy = 0.3;
-            case 4 -> any.lossy = 0;
+            case 3 -> any.lossRatio = 0.3;
+            case 4 -> any.lossRatio = 0;
             case 5 -> world.logDown = !world.logDown;
             case 6 -> world.replace(any);
             default -> {}
         }
     }
 
-    private static void calm(OrderWorld world) {
+    private static void stabilize(OrderSimulation world) {
         world.logDown = false;
         world.companions.forEach(each -> {
             each.frozen = false;
-            each.lossy = 0;
+            each.lossRatio = 0;
         });
     }
 }
