--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/DocumentsInForce.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ActiveDocuments.java
@@ -9,39 +9,39 @@
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.log.LogRecord;
 
-/** The documents in force at this companion, from the log or, while it can't be read, from the entries. */
-final class DocumentsInForce {
+/** The documents that are active at this companion, read from the log or, while it can't be read, from entries. */
+final class ActiveDocuments {
     private final ServiceDocuments documents;
     private final PeerConfigurationExchange peers;
 
-    DocumentsInForce(DocumentReader reader) {
+    ActiveDocuments(DocumentReader reader) {
         documents = new ServiceDocuments(reader);
         peers = new PeerConfigurationExchange(documents.ledger());
     }
 
-    /** Takes records from the log; returns whether a document changed. */
-    boolean read(List<LogRecord> records, Turn turn) {
+    /** Applies records that were read from the log; returns whether an active document changed. */
+    boolean onLogRead(List<LogRecord> records, EventContext context) {
         peers.onLogRead();
-        return take(records, turn);
+        return apply(records, context);
     }
 
-    void readFailed() {
+    void onLogReadFailed() {
         peers.onLogReadFailed();
     }
 
-    void linked(long link, Turn turn) {
-        peers.requestOnLinkOpened(turn.nowMicros()).ifPresent(question -> send(link, question, turn));
+    void onLinkOpened(long link, EventContext context) {
+        peers.requestOnLinkOpened(context.nowMicros()).ifPresent(request -> send(link, request, context));
     }
 
-    /** Takes a frame about configuration or a heartbeat; returns whether a document changed. */
-    boolean hear(long link, Frame frame, Turn turn) {
+    /** Handles a heartbeat or a configuration frame and ignores others; returns whether an active document changed. */
+    boolean onFrame(long link, Frame frame, EventContext context) {
         if (frame instanceof Frame.Heartbeat heartbeat) {
-            peers.requestOnHeartbeat(heartbeat.revisions(), turn.nowMicros())
-                    .ifPresent(question -> send(link, question, turn));
+            peers.requestOnHeartbeat(heartbeat.revisions(), context.nowMicros())
+                    .ifPresent(request -> send(link, request, context));
         } else if (frame instanceof Frame.ConfigurationRequest request) {
-            peers.answer(request).forEach(answer -> send(link, answer, turn));
-        } else if (frame instanceof Frame.ConfigurationRecords told && peers.needsPeers()) {
-            return take(told.records(), turn);
+            peers.answer(request).forEach(answer -> send(link, answer, context));
+        } else if (frame instanceof Frame.ConfigurationRecords received && peers.needsPeers()) {
+            return apply(received.records(), context);
         }
         return false;
     }
@@ -54,19 +54,19 @@
         return documents.revisions();
     }
 
-    private boolean take(List<LogRecord> records, Turn turn) {
+    private boolean apply(List<LogRecord> records, EventContext context) {
         documents.apply(records);
         boolean changed = false;
         for (DocumentChange change : documents.update()) {
             changed |= change instanceof DocumentChange.InForce;
             if (change instanceof DocumentChange.Unreadable unreadable) {
-                turn.note(DocumentChange.Unreadable.EVENT, unreadable.fields());
+                context.logEvent(DocumentChange.Unreadable.EVENT, unreadable.fields());
             }
         }
         return changed;
     }
 
-    private static void send(long link, Frame frame, Turn turn) {
-        turn.ask(new CompanionEffect.SendFrame(link, frame));
+    private static void send(long link, Frame frame, EventContext context) {
+        context.emit(new CompanionEffect.SendFrame(link, frame));
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/AnswerStream.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/AnswerStream.java
@@ -8,37 +8,38 @@
 import org.rattanrudder.core.model.AttemptId;
 
 /**
- * The answer of one attempt as numbered chunks, of which those that the entry hasn't confirmed are kept for a resume.
+ * The answer of one attempt as numbered chunks. Chunks that the entry hasn't confirmed are retained for a resume.
  *
- * <p>The target is read only as far as the entry's credits go, so at most a window of chunks is ever kept.
+ * <p>The target's answer is only read within the window of the entry's credits, so at most a window of chunks is
+ * retained.
  */
 final class AnswerStream {
     private final AttemptId attempt;
-    private final ArrayDeque<byte[]> kept = new ArrayDeque<>();
+    private final ArrayDeque<byte[]> retained = new ArrayDeque<>();
     private Frame.AnswerHead head;
     private Frame end;
-    private long firstKept;
-    private long keptBytes;
-    private long next;
-    private long credits;
-    private long allowed = CompanionEffect.INITIAL_WINDOW_CHUNKS;
+    private long firstRetained;
+    private long retainedBytes;
+    private long nextChunk;
+    private long confirmedChunks;
+    private long windowEnd = CompanionEffect.INITIAL_WINDOW_CHUNKS;
 
     AnswerStream(AttemptId attempt) {
         this.attempt = attempt;
     }
 
     /** Returns the number of the next chunk. */
-    long next() {
-        return next;
+    long nextChunk() {
+        return nextChunk;
     }
 
-    /** Returns how many chunks are kept. */
-    int keptChunks() {
-        return kept.size();
+    /** Returns the number of retained chunks. */
+    int retainedChunks() {
+        return retained.size();
     }
 
-    long keptBytes() {
-        return keptBytes;
+    long retainedBytes() {
+        return retainedBytes;
     }
 
     boolean hasHead() {
@@ -49,9 +50,9 @@
         return end != null;
     }
 
-    /** Returns whether the target has given all that the window lets it. */
-    boolean isWindowUsed() {
-        return next >= allowed;
+    /** Returns whether as many chunks have been read as the window allows. */
+    boolean isWindowExhausted() {
+        return nextChunk >= windowEnd;
     }
 
     Frame begin(Frame.AnswerHead answerHead) {
@@ -60,9 +61,9 @@
     }
 
     Frame add(byte[] bytes) {
-        kept.add(bytes);
-        keptBytes += bytes.length;
-        return new Frame.AnswerChunk(attempt, next++, bytes);
+        retained.add(bytes);
+        retainedBytes += bytes.length;
+        return new Frame.AnswerChunk(attempt, nextChunk++, bytes);
     }
 
     Frame end(Frame last) {
@@ -70,48 +71,48 @@
         return end;
     }
 
-    /** Takes a credit: the entry's caller has taken as many chunks, which needn't be kept any more. */
+    /** Handles a credit: the caller has received this number of chunks, which needn't be retained any more. */
     void credit(int chunks) {
-        credits += chunks;
-        allowed += chunks;
-        forgetBefore(Math.min(credits, next));
+        confirmedChunks += chunks;
+        windowEnd += chunks;
+        discardBefore(Math.min(confirmedChunks, nextChunk));
     }
 
     /**
-     * Takes up the stream again on another link.
+     * Resumes the stream on another link.
      *
-     * <p>Credits that were on the old link are lost with it; without widening the window here, a stream that changed
-     * links a few times would stop for good once the lost credits added up to the window.
+     * <p>Credits in flight on the old link are lost. The window is widened to make up for them. Otherwise a stream that
+     * changes links a few times would stall once the lost credits add up to the whole window.
      *
-     * @param nextChunk the first chunk that the entry lacks
-     * @param sink takes the frames that it lacks
-     * @return how many more chunks the target may be read, or empty if those chunks aren't kept
+     * @param fromChunk number of the first chunk that the entry lacks
+     * @param sink receives the missing frames
+     * @return how many more chunks of the target's answer may be read, or empty if missing chunks aren't retained
      */
-    Optional<Integer> resume(long nextChunk, Consumer<Frame> sink) {
-        if (nextChunk < firstKept || nextChunk > next) {
+    Optional<Integer> resume(long fromChunk, Consumer<Frame> sink) {
+        if (fromChunk < firstRetained || fromChunk > nextChunk) {
             return Optional.empty();
         }
-        forgetBefore(nextChunk);
+        discardBefore(fromChunk);
         if (head != null) {
             sink.accept(head);
         }
-        long number = nextChunk;
-        for (Iterator<byte[]> chunks = kept.iterator(); chunks.hasNext(); number++) {
+        long number = fromChunk;
+        for (Iterator<byte[]> chunks = retained.iterator(); chunks.hasNext(); number++) {
             sink.accept(new Frame.AnswerChunk(attempt, number, chunks.next()));
         }
         if (end != null) {
             sink.accept(end);
         }
-        long widened = Math.max(allowed, nextChunk + CompanionEffect.INITIAL_WINDOW_CHUNKS);
-        int more = (int) (widened - allowed);
-        allowed = widened;
+        long widened = Math.max(windowEnd, fromChunk + CompanionEffect.INITIAL_WINDOW_CHUNKS);
+        int more = (int) (widened - windowEnd);
+        windowEnd = widened;
         return Optional.of(more);
     }
 
-    private void forgetBefore(long number) {
-        while (firstKept < number) {
-            keptBytes -= kept.remove().length;
-            firstKept++;
+    private void discardBefore(long number) {
+        while (firstRetained < number) {
+            retainedBytes -= retained.remove().length;
+            firstRetained++;
         }
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/HeldTarget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/AssignedTarget.java
@@ -14,12 +14,12 @@
 import org.rattanrudder.core.model.ServiceName;
 import org.rattanrudder.core.model.TargetName;
 
-/** One target that this companion holds: its settings, its last report, and who runs and waits there. */
-final class HeldTarget {
-    /** How long a target may miss every question for its load before it gets no new work. */
+/** A target that is assigned to this companion: its settings, its last load report and its admission queue. */
+final class AssignedTarget {
+    /** Time without a load report after which a target counts as unreachable and gets no new attempts. */
     static final long UNREACHABLE_AFTER_MICROS = 3_000_000;
 
-    /** How long a target may miss them before what waits is held back from it. */
+    /** Time without a load report after which a target is suspect and queued attempts are held back. */
     static final long SUSPECT_AFTER_MICROS = 1_000_000;
 
     private static final long NEVER = -1;
@@ -29,21 +29,21 @@
     private final Admission<AttemptId> admission;
     private final PrefillSpeed prefillSpeed = new PrefillSpeed();
     private String weightVersion = "";
-    private boolean reported;
-    private long missedSinceMicros = NEVER;
+    private boolean hasReported;
+    private long unresponsiveSinceMicros = NEVER;
     private boolean released;
 
-    HeldTarget(ServiceDocument document, TargetSettings settings) {
+    AssignedTarget(ServiceDocument document, TargetSettings settings) {
         this.document = document;
         this.settings = settings;
-        this.admission = new FairAdmission<>(limits());
+        this.admission = new FairAdmission<>(admissionLimits());
     }
 
     void configure(ServiceDocument newDocument, TargetSettings newSettings) {
         document = newDocument;
         settings = newSettings;
         released = false;
-        admission.updateLimits(limits());
+        admission.updateLimits(admissionLimits());
     }
 
     ServiceDocument document() {
@@ -66,21 +66,21 @@
         return document.kind() == ServiceKind.PROMPT;
     }
 
-    /** Returns what speaks against giving an attempt that hasn't been called to the target now. */
-    Optional<ErrorKind> objectionTo(Frame.Dispatch dispatch, long nowMicros) {
+    /** Returns why an attempt that hasn't been called yet can't run at the target now; empty if it can. */
+    Optional<ErrorKind> rejectionReason(Frame.Dispatch dispatch, long nowMicros) {
         if (!isOpen()) {
             return Optional.of(ErrorKind.DRAINING);
         }
         if (!isReachable(nowMicros)) {
             return Optional.of(ErrorKind.TARGET_UNREACHABLE);
         }
-        if (isEngine() && (!hasVersion() || !weightVersion.equals(dispatch.weightVersion()))) {
+        if (isEngine() && (!hasWeights() || !weightVersion.equals(dispatch.weightVersion()))) {
             return Optional.of(ErrorKind.VERSION_CHANGED);
         }
         return Optional.empty();
     }
 
-    /** Returns who runs and waits here. */
+    /** Returns the running and queued attempts. */
     Admission<AttemptId> admission() {
         return admission;
     }
@@ -89,17 +89,22 @@
         return prefillSpeed;
     }
 
-    /** Returns the weight version that the engine last reported; empty if it never did, and for plain services. */
+    /**
+     * Returns the weight version that the engine last reported; empty before its first report and for plain services.
+     */
     String weightVersion() {
         return weightVersion;
     }
 
-    /** Returns whether the target could run something: an engine that is loading its first weights can't. */
-    boolean hasVersion() {
+    /**
+     * Returns whether the target has weights to run with, unlike an engine that is loading its first ones. Always true
+     * for plain services.
+     */
+    boolean hasWeights() {
         return !isEngine() || !weightVersion.isEmpty();
     }
 
-    /** Marks that no document gives the target to this companion any more; what runs there goes on. */
+    /** Marks the target as no longer assigned to this companion; running attempts continue. */
     void release() {
         released = true;
     }
@@ -108,74 +113,77 @@
         return released;
     }
 
-    /** Takes a load report; returns whether the weight version changed. */
-    boolean report(CompanionEvent.TargetLoad load) {
-        missedSinceMicros = NEVER;
-        reported = true;
-        boolean changed = isEngine() && !load.weightVersion().equals(weightVersion);
+    /** Handles a load report; returns whether the weight version changed. */
+    boolean onLoadReport(CompanionEvent.TargetLoad load) {
+        unresponsiveSinceMicros = NEVER;
+        hasReported = true;
+        boolean versionChanged = isEngine() && !load.weightVersion().equals(weightVersion);
         weightVersion = isEngine() ? load.weightVersion() : "";
-        return changed;
+        return versionChanged;
     }
 
-    /** Takes note that the target didn't tell its load. A plain service that never told it needn't. */
-    void missReport(long nowMicros) {
-        if (missedSinceMicros == NEVER && (isEngine() || reported)) {
-            missedSinceMicros = nowMicros;
+    /**
+     * Handles a missing load report. It is ignored for a plain service that has never sent one, since that is optional.
+     */
+    void onReportMissed(long nowMicros) {
+        if (unresponsiveSinceMicros == NEVER && (isEngine() || hasReported)) {
+            unresponsiveSinceMicros = nowMicros;
         }
     }
 
-    /** Takes note that the target answered something. */
-    void showLife() {
-        missedSinceMicros = NEVER;
+    /** Handles any sign of life of the target, such as a part of an answer. */
+    void onActivity() {
+        unresponsiveSinceMicros = NEVER;
     }
 
-    /** Forgets what the target reported, since its address is now another. */
-    void forgetReports() {
+    /** Resets what the target has reported, after its address changed. */
+    void resetReports() {
         weightVersion = "";
-        reported = false;
-        missedSinceMicros = NEVER;
+        hasReported = false;
+        unresponsiveSinceMicros = NEVER;
     }
 
     boolean isReachable(long nowMicros) {
-        return !isSilentFor(UNREACHABLE_AFTER_MICROS, nowMicros) && (!isEngine() || reported);
+        return !isUnresponsiveFor(UNREACHABLE_AFTER_MICROS, nowMicros) && (!isEngine() || hasReported);
     }
 
     /**
-     * Returns whether the target may be dead. Its running calls end as unknown one after the other, and each place that
-     * becomes free would send one more call that waits into the same end, though that one could still be not run.
+     * Returns whether the target may be dead. Its running calls then end as unknown one after the other. If queued
+     * attempts took the freed slots, they would end as unknown too, although they can still be refused as not run.
      */
     boolean isSuspect(long nowMicros) {
-        return isSilentFor(SUSPECT_AFTER_MICROS, nowMicros);
+        return isUnresponsiveFor(SUSPECT_AFTER_MICROS, nowMicros);
     }
 
-    private boolean isSilentFor(long micros, long nowMicros) {
-        return missedSinceMicros != NEVER && nowMicros - missedSinceMicros >= micros;
+    private boolean isUnresponsiveFor(long micros, long nowMicros) {
+        return unresponsiveSinceMicros != NEVER && nowMicros - unresponsiveSinceMicros >= micros;
     }
 
-    /** Returns whether the operator lets the target have new work. */
+    /** Returns whether the target may get new attempts: it is assigned, and the operator isn't draining it. */
     boolean isOpen() {
         return !released && !settings.draining();
     }
 
     Frame.TargetState state(boolean accepting, long fetchBytesPerSecond, long nowMicros) {
-        int middle = document.classes().get(document.classes().size() / 2).priority();
+        int middlePriority =
+                document.classes().get(document.classes().size() / 2).priority();
         return new Frame.TargetState(
                 name(),
                 accepting,
                 admission.runningCount(),
                 admission.queuedCount(),
-                admission.expectedWaitMicros(middle, nowMicros),
+                admission.expectedWaitMicros(middlePriority, nowMicros),
                 weightVersion,
                 prefillSpeed.tokensPerSecond(),
                 fetchBytesPerSecond);
     }
 
-    private AdmissionLimits limits() {
-        int mostUrgent = document.classes().stream()
+    private AdmissionLimits admissionLimits() {
+        int minPriority = document.classes().stream()
                 .mapToInt(RequestClass::priority)
                 .min()
                 .orElse(0);
         return AdmissionLimits.of(
-                settings.concurrency(), mostUrgent, document.limits().queueLength());
+                settings.concurrency(), minPriority, document.limits().queueLength());
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Attempt.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Attempt.java
@@ -6,15 +6,15 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.AttemptId;
 
-/** One attempt that this companion has accepted and not yet forgotten. */
+/** An attempt that this companion has accepted and not yet discarded. */
 final class Attempt {
-    /** No link carries the attempt's frames: its entry has yet to resume it. */
+    /** Value of the link of a detached attempt, which its entry hasn't resumed yet. */
     static final long DETACHED = -1;
 
     private static final long NOT_YET = -1;
 
     private Frame.Dispatch dispatch;
-    private final HeldTarget target;
+    private final AssignedTarget target;
     private final Address address;
     private final AnswerStream answer;
     private final long acceptedMicros;
@@ -29,7 +29,7 @@
     private boolean abandoned;
     private boolean resuming;
 
-    Attempt(Frame.Dispatch dispatch, HeldTarget target, long link, long nowMicros) {
+    Attempt(Frame.Dispatch dispatch, AssignedTarget target, long link, long nowMicros) {
         this.dispatch = dispatch;
         this.target = target;
         this.address = target.settings().address();
@@ -38,17 +38,17 @@
         this.answer = new AnswerStream(dispatch.attempt());
     }
 
-    /** How far an attempt has come. */
+    /** Stage of an attempt. */
     enum Stage {
-        /** It waits for the verdict on its key. */
+        /** Waits for the decision on its idempotency key. */
         CLAIMING,
-        /** It waits for a place at its target. */
+        /** Waits for a slot at its target. */
         QUEUED,
-        /** It has its place, and its context is being fetched. */
+        /** Holds a slot while its context is being fetched. */
         FETCHING,
         /** The target has been called. */
         CALLED,
-        /** Its last frame is known, and kept until the entry has all of it. */
+        /** Its last frame is known and is retained until the entry has the whole answer. */
         ENDED
     }
 
@@ -60,11 +60,11 @@
         return dispatch;
     }
 
-    HeldTarget target() {
+    AssignedTarget target() {
         return target;
     }
 
-    /** Returns the target's address when the attempt was accepted: a later document may name another. */
+    /** Returns the target's address at the time of acceptance; a later document may specify another. */
     Address address() {
         return address;
     }
@@ -77,12 +77,12 @@
         return stage;
     }
 
-    void enter(Stage next) {
+    void moveTo(Stage next) {
         stage = next;
     }
 
-    /** Returns whether it holds one of its target's places. */
-    boolean holdsPlace() {
+    /** Returns whether it holds one of its target's slots. */
+    boolean holdsSlot() {
         return stage == Stage.FETCHING || stage == Stage.CALLED;
     }
 
@@ -112,18 +112,18 @@
         return detachedMicros;
     }
 
-    void fetch(long nowMicros) {
+    void startFetch(long nowMicros) {
         progressMicros = nowMicros;
         stage = Stage.FETCHING;
     }
 
-    void start(long nowMicros) {
+    void startCall(long nowMicros) {
         startedMicros = nowMicros;
         progressMicros = nowMicros;
         stage = Stage.CALLED;
     }
 
-    void progress(long nowMicros) {
+    void recordProgress(long nowMicros) {
         progressMicros = nowMicros;
         resuming = false;
     }
@@ -137,8 +137,8 @@
         return endedMicros;
     }
 
-    /** Lets go of the call's body, which can be large, once the target has been called. */
-    void forgetCall() {
+    /** Discards the headers and body of the call, which can be large, once the target has been called. */
+    void discardCallBody() {
         Call call = new Call(dispatch.call().method(), dispatch.call().path(), List.of(), new byte[0]);
         dispatch = new Frame.Dispatch(
                 dispatch.attempt(),
@@ -156,8 +156,11 @@
                 dispatch.prompt());
     }
 
-    /** Takes note that the target may go on: time that it spent waiting for the caller doesn't count as silence. */
-    void windowOpened(long nowMicros) {
+    /**
+     * Handles a reopened window: the time that the target spent waiting for the caller doesn't count towards its
+     * timeout.
+     */
+    void onWindowOpened(long nowMicros) {
         progressMicros = nowMicros;
     }
 
@@ -165,15 +168,15 @@
         return progressMicros;
     }
 
-    /** Takes note of the first byte of the answer, once. */
-    void firstByte(long nowMicros) {
+    /** Records the arrival of the first byte of the answer; later calls have no effect. */
+    void recordFirstByte(long nowMicros) {
         if (firstByteMicros == NOT_YET) {
             firstByteMicros = nowMicros;
             target.admission().onFirstByte(id(), nowMicros);
         }
     }
 
-    /** Returns when the first byte of the answer came; before {@link #startedMicros} if it hasn't. */
+    /** Returns when the first byte of the answer arrived; a time before {@link #startedMicros} if none has. */
     long firstByteMicros() {
         return firstByteMicros;
     }
@@ -190,11 +193,11 @@
         return fetched;
     }
 
-    void fetched(ContextMover.Fetched what) {
-        fetched = what;
+    void fetched(ContextMover.Fetched newFetched) {
+        fetched = newFetched;
     }
 
-    /** Returns whether the entry wants no answer any more, though the call goes on. */
+    /** Returns whether the entry no longer needs the answer, although the call continues. */
     boolean isAbandoned() {
         return abandoned;
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Attempts.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Attempts.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import org.rattanrudder.core.model.AttemptId;
 
-/** The attempts that this companion has accepted and not yet forgotten, in the order of their acceptance. */
+/** The attempts that this companion has accepted and not yet discarded, in the order in which they were accepted. */
 final class Attempts {
     private final Map<AttemptId, Attempt> byId = new LinkedHashMap<>();
 
@@ -15,7 +15,7 @@
         byId.put(attempt.id(), attempt);
     }
 
-    /** Returns the attempt, or null if it isn't here. */
+    /** Returns the attempt, or null if it isn't known. */
     Attempt find(AttemptId id) {
         return byId.get(id);
     }
@@ -24,11 +24,11 @@
         byId.remove(attempt.id());
     }
 
-    /** Returns a copy of those that match, so that the caller may end them while it goes through them. */
-    List<Attempt> matching(Predicate<Attempt> wanted) {
+    /** Returns a copy of the matching attempts, so that the caller may remove attempts while iterating. */
+    List<Attempt> matching(Predicate<Attempt> filter) {
         List<Attempt> found = new ArrayList<>();
         for (Attempt attempt : byId.values()) {
-            if (wanted.test(attempt)) {
+            if (filter.test(attempt)) {
                 found.add(attempt);
             }
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEffect.java
@@ -10,10 +10,10 @@
 import org.rattanrudder.core.model.Digest;
 import org.rattanrudder.core.model.TargetName;
 
-/** What a companion's machine asks the daemon to do. */
+/** Effects that a companion's state machine requests from the daemon. */
 public sealed interface CompanionEffect {
     /**
-     * Send a frame to an entry; lost if the link is gone.
+     * Send a frame to an entry; it is lost if the link has been closed.
      *
      * @param link the link
      * @param frame the frame
@@ -28,7 +28,7 @@
     record CloseLink(long link) implements CompanionEffect {}
 
     /**
-     * Call a plain service. Tried once: a connection that breaks is never tried again.
+     * Call a plain service, once: a call whose connection fails is not retried.
      *
      * @param attempt the attempt
      * @param target the target's address
@@ -37,36 +37,37 @@
     record StartCall(AttemptId attempt, Address target, Call call) implements CompanionEffect {}
 
     /**
-     * Ask an engine. The daemon adds salt, priority and request id to the caller's body in the engine's protocol.
+     * Send a prompt to an engine. The daemon adds salt, priority and request id to the caller's body in the engine's
+     * protocol.
      *
      * @param attempt the attempt
      * @param target the engine's address
      * @param call the call
-     * @param cacheSalt the root of the prompt's block names: it scopes the engine's prefix cache
-     * @param priority 0 goes first
-     * @param pieceTokens tokens in one block
+     * @param cacheSalt the salt from which the prompt's block names are derived; it scopes the engine's prefix cache
+     * @param priority the priority; 0 is the most urgent
+     * @param pieceTokens number of tokens in one block
      */
     record StartPrompt(AttemptId attempt, Address target, Call call, Digest cacheSalt, int priority, int pieceTokens)
             implements CompanionEffect {}
 
     /**
-     * Take up the stream of an attempt at the engine again after the connection to it broke.
+     * Resume the stream of an attempt at the engine after its connection failed.
      *
      * @param attempt the attempt
      * @param target the engine's address
-     * @param fromChunk the first chunk that is missing
+     * @param fromChunk number of the first missing chunk
      */
     record ResumePrompt(AttemptId attempt, Address target, long fromChunk) implements CompanionEffect {}
 
     /**
-     * Stop the call: the target is told where its protocol allows it. No event of the attempt follows.
+     * Cancel the call, also at the target if its protocol allows it. No event of the attempt follows.
      *
      * @param attempt the attempt
      */
     record CancelCall(AttemptId attempt) implements CompanionEffect {}
 
     /**
-     * Read more of the target's answer: back-pressure from a slow caller. A call starts with a window of
+     * Read more of the target's answer; this applies the back-pressure of a slow caller. A call starts with a window of
      * {@link #INITIAL_WINDOW_CHUNKS}.
      *
      * @param attempt the attempt
@@ -74,11 +75,11 @@
      */
     record ReadMore(AttemptId attempt, int chunks) implements CompanionEffect {}
 
-    /** How many chunks of an answer may be read before the first {@link ReadMore}. */
+    /** Number of chunks of an answer that may be read before the first {@link ReadMore}. */
     int INITIAL_WINDOW_CHUNKS = 64;
 
     /**
-     * Ask a store which blocks it has committed; answered by BlocksFound.
+     * Look up which blocks a store has committed. {@link CompanionEvent.BlockLookupEnded} follows.
      *
      * @param lookup the number of the lookup
      * @param store the store's address
@@ -87,28 +88,29 @@
     record LookUpBlocks(long lookup, Address store, List<Digest> blocks) implements CompanionEffect {}
 
     /**
-     * Move a block from a store into an engine's cache; answered by MoveEnded.
+     * Move a block from a store into an engine's cache. {@link CompanionEvent.MoveEnded} follows.
      *
-     * <p>Where the store or the block has changed since it was looked up, its slot may hold another block, or part of
-     * one. So the daemon takes nothing on trust and imports only what passes every check:
+     * <p>If the store or the block has changed since the lookup, the slot of the block may hold another block, or part
+     * of one. So the daemon imports only what passes every check:
      *
      * <ol>
-     *   <li>the first answer says committed, with the incarnation, generation and length of {@code block}; else GONE;
-     *   <li>what arrived has the length and the SHA-256 digest of {@code block}; else CORRUPT;
-     *   <li>asked again after the last byte (HEAD), the store names the same incarnation and generation, still
-     *       committed; else GONE: the slot was freed or reused while it was read;
-     *   <li>the engine takes it for {@code weightVersion}; if that isn't its active version (409): GONE.
+     *   <li>the first answer is marked as committed, with the incarnation, generation and length of {@code block};
+     *       otherwise GONE;
+     *   <li>the content has the length and the SHA-256 digest of {@code block}; otherwise CORRUPT;
+     *   <li>a HEAD request after the last byte returns the same incarnation and generation, still committed; otherwise
+     *       GONE, since the slot was freed or reused during the read;
+     *   <li>the engine accepts it for {@code weightVersion}; if that isn't its active version (409), GONE.
      * </ol>
      *
-     * <p>A side that doesn't answer is UNREACHABLE. A move is broken off and ended within {@link #MOVE_TIMEOUT_MICROS}:
-     * the links' budgets count its bytes until then.
+     * <p>If the store or the engine doesn't answer, the outcome is UNREACHABLE. A move is aborted, and ends, within
+     * {@link #MOVE_TIMEOUT_MICROS}, since its bytes count against the budgets of the links until then.
      *
      * @param move the number of the move
      * @param store the store's address
-     * @param block what the store said of it
+     * @param block the block as the store described it
      * @param target the engine's address
-     * @param parent the name of the block before it; the cache salt for the first
-     * @param weightVersion the version that it belongs to
+     * @param parent the name of the preceding block; the cache salt for the first block
+     * @param weightVersion the weight version that it belongs to
      */
     record FetchBlock(
             long move,
@@ -120,36 +122,36 @@
             implements CompanionEffect {}
 
     /**
-     * Copy a block from an engine's cache to a store; answered by MoveEnded.
+     * Copy a block from an engine's cache to a store. {@link CompanionEvent.MoveEnded} follows.
      *
-     * <p>The block becomes readable only by its commit, so that a daemon or store that dies half-way leaves nothing
-     * that anybody reads. The daemon checks, in this order:
+     * <p>The block becomes readable only with its commit, so that a daemon or store that fails during the copy leaves
+     * no partial block to be read. The daemon checks, in this order:
      *
      * <ol>
-     *   <li>the engine has the block, names {@code weightVersion} with it, and its bytes match the engine's digest;
-     *       else GONE;
-     *   <li>the store begins the write and names incarnation and generation; 507 is FULL;
-     *   <li>all bytes are written under that generation;
-     *   <li>the commit, with length and digest, is taken under it; a refusal (409) is GONE. Without an answer to the
-     *       commit the outcome is UNREACHABLE: the block may be readable, whole, and a lookup will show it.
+     *   <li>the engine has the block for {@code weightVersion}, and its bytes match the engine's digest; otherwise
+     *       GONE;
+     *   <li>the store starts the write and returns incarnation and generation; 507 means FULL;
+     *   <li>all bytes are written for that generation;
+     *   <li>the commit, with length and digest, is accepted for it; a refusal (409) means GONE. Without an answer to
+     *       the commit the outcome is UNREACHABLE: the complete block may be readable, and a lookup will show it.
      * </ol>
      *
-     * <p>It is broken off and ended within {@link #MOVE_TIMEOUT_MICROS}.
+     * <p>It is aborted, and ends, within {@link #MOVE_TIMEOUT_MICROS}.
      *
      * @param move the number of the move
      * @param target the engine's address
      * @param block the block's name
-     * @param weightVersion the version that it must belong to
+     * @param weightVersion the weight version that it must belong to
      * @param store the store's address
      */
     record ExportBlock(long move, Address target, Digest block, String weightVersion, Address store)
             implements CompanionEffect {}
 
-    /** The longest that a move may take, in microseconds. */
+    /** Timeout of a block move. */
     long MOVE_TIMEOUT_MICROS = 30_000_000;
 
     /**
-     * Free a block in a store, to make room for a better one. No event follows.
+     * Free a block in a store, to make room for a more valuable one. No event follows.
      *
      * @param store the store's address
      * @param block the block's name
@@ -157,20 +159,21 @@
     record DropBlock(Address store, Digest block) implements CompanionEffect {}
 
     /**
-     * Order a target to reach a desired state; answered by OrderAnswered.
+     * Send a target the order to reach a desired state. {@link CompanionEvent.OrderAnswered} follows.
      *
      * @param name the target's name
      * @param target the target's address
-     * @param fencing the fencing number, from the log
-     * @param model the model to hold
+     * @param fencing the fencing number, which is a log offset
+     * @param model the model to load
      * @param version the weight version to serve
-     * @param adapters the adapters to hold
+     * @param adapters the adapters to load
      */
     record SendOrder(TargetName name, Address target, long fencing, String model, String version, List<String> adapters)
             implements CompanionEffect {}
 
     /**
-     * Ask a target what became of the last order; answered by OrderAnswered with that order's number.
+     * Query the state of a target's last order. {@link CompanionEvent.OrderAnswered} follows, with the fencing number
+     * of that order.
      *
      * @param name the target's name
      * @param target the target's address
@@ -178,11 +181,11 @@
     record QueryLastOrder(TargetName name, Address target) implements CompanionEffect {}
 
     /**
-     * Watch a target's load and cache events from now on, or anew after its address changed.
+     * Start to watch a target's load and cache events, or restart after its address changed.
      *
      * @param name the target's name
      * @param target the target's address
-     * @param engine whether it is an engine with cache events and a weight version
+     * @param engine whether it is an engine, with cache events and a weight version
      */
     record WatchTarget(TargetName name, Address target, boolean engine) implements CompanionEffect {}
 
@@ -194,7 +197,7 @@
     record UnwatchTarget(TargetName name) implements CompanionEffect {}
 
     /**
-     * Append a batch to the log; answered by AppendSettled.
+     * Append a batch to the log. {@link CompanionEvent.AppendSettled} follows.
      *
      * @param stream the stream
      * @param batch the batch
@@ -202,13 +205,13 @@
     record Append(LogStream stream, LogBatch batch) implements CompanionEffect {}
 
     /**
-     * Something that an operator may want to see in the log.
+     * Write an event to the operators' event log.
      *
-     * @param event a fixed word for it, such as {@code lease_lapsed}
-     * @param fields key, value, key, value and so on
+     * @param event the fixed name of the event, such as {@code link_silent}
+     * @param fields alternating keys and values
      */
     record LogEvent(String event, List<String> fields) implements CompanionEffect {}
 
-    /** Nothing runs any more and none will be taken: the process may end. */
+    /** The drain is complete and the process may exit: nothing is running and no attempt will be accepted. */
     record Drained() implements CompanionEffect {}
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEvent.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionEvent.java
@@ -11,18 +11,18 @@
 import org.rattanrudder.core.model.Digest;
 import org.rattanrudder.core.model.TargetName;
 
-/** What happens to a companion. */
+/** Events that a companion handles. */
 public sealed interface CompanionEvent {
     /**
-     * An entry has opened a link and said hello.
+     * An entry has opened a link and sent its hello.
      *
-     * @param link names the link; never used again after it closes
-     * @param hello what it said
+     * @param link the number of the link; never reused after it closes
+     * @param hello the frame that it sent
      */
     record LinkOpened(long link, Frame.Hello hello) implements CompanionEvent {}
 
     /**
-     * A link is gone.
+     * A link was closed.
      *
      * @param link the link
      */
@@ -37,7 +37,7 @@
     record FrameArrived(long link, Frame frame) implements CompanionEvent {}
 
     /**
-     * The target began its answer.
+     * The head of the target's answer has arrived.
      *
      * @param attempt the attempt
      * @param status the HTTP status
@@ -46,33 +46,33 @@
     record TargetAnswerStarted(AttemptId attempt, int status, List<Header> headers) implements CompanionEvent {}
 
     /**
-     * A part of the target's answer. For an engine one server-sent event, for a plain service any part of the body.
+     * A chunk of the target's answer: for an engine one server-sent event, for a plain service any part of the body.
      *
      * @param attempt the attempt
-     * @param bytes the part
-     * @param weightVersion the version that the engine says made it; empty for plain services
+     * @param bytes the content of the chunk
+     * @param weightVersion the weight version that the engine names for it; empty for plain services
      */
     record TargetChunk(AttemptId attempt, byte[] bytes, String weightVersion) implements CompanionEvent {}
 
     /**
-     * The target's answer is whole.
+     * The target's answer is complete.
      *
      * @param attempt the attempt
-     * @param usage what the engine says it cost; {@link Usage#NONE} for plain services
+     * @param usage the usage that the engine reports; {@link Usage#NONE} for plain services
      */
     record TargetAnswerEnded(AttemptId attempt, Usage usage) implements CompanionEvent {}
 
     /**
-     * The call broke off.
+     * The call failed before its answer was complete.
      *
      * @param attempt the attempt
      * @param nothingSent whether no byte of the request can have reached the target
-     * @param detail one line for people
+     * @param detail a one-line description for operators
      */
     record TargetFailed(AttemptId attempt, boolean nothingSent, String detail) implements CompanionEvent {}
 
     /**
-     * A target's load report, which lags.
+     * A load report of a target has arrived. It lags behind the actual load.
      *
      * @param target the target
      * @param load the report
@@ -80,54 +80,54 @@
     record LoadReported(TargetName target, TargetLoad load) implements CompanionEvent {}
 
     /**
-     * A target didn't answer when asked for its load.
+     * A target didn't answer a load request.
      *
      * @param target the target
      */
     record LoadReportMissed(TargetName target) implements CompanionEvent {}
 
     /**
-     * An engine's cache events, which come late and with gaps.
+     * Cache events of an engine have arrived, possibly late and with gaps.
      *
      * @param target the target
-     * @param gap whether events before these are missing
+     * @param gap whether events are missing before these
      * @param events the events, in order
      */
     record CacheEventsReported(TargetName target, boolean gap, List<CacheEvent> events) implements CompanionEvent {}
 
     /**
-     * A store said which of the blocks asked for are committed there.
+     * A lookup of committed blocks in a store has ended.
      *
      * @param lookup the number of the lookup
-     * @param found the blocks that are there; empty also when the store didn't answer
+     * @param found the blocks that the store has committed; also empty if it didn't answer
      * @param answered whether the store answered
      */
     record BlockLookupEnded(long lookup, List<StoredBlock> found, boolean answered) implements CompanionEvent {}
 
     /**
-     * A move of a block has ended.
+     * The move of a block has ended.
      *
      * @param move the number of the move
-     * @param outcome how
-     * @param bytes bytes that went over the link
+     * @param outcome how it ended
+     * @param bytes number of transferred bytes
      */
     record MoveEnded(long move, MoveOutcome outcome, long bytes) implements CompanionEvent {}
 
     /**
-     * An order was answered by its target, or not.
+     * An order, or a query of the last order, has ended with or without an answer of the target.
      *
      * @param target the target
      * @param fencing the order's fencing number
-     * @param outcome the answer
+     * @param outcome the outcome of the order
      */
     record OrderAnswered(TargetName target, long fencing, OrderOutcome outcome) implements CompanionEvent {}
 
     /**
-     * Records have been read from the log, in order and without gaps but for what retention dropped.
+     * Records have been read from the log, in order and without gaps other than records dropped by retention.
      *
      * @param stream the stream
      * @param records the records
-     * @param caughtUp whether the reader has reached the log's end
+     * @param caughtUp whether the reader has reached the end of the log
      */
     record LogRead(LogStream stream, List<LogRecord> records, boolean caughtUp) implements CompanionEvent {}
 
@@ -139,27 +139,27 @@
     record LogReadFailed(LogStream stream) implements CompanionEvent {}
 
     /**
-     * The log answered an append, or didn't.
+     * An append to the log has ended with or without an answer.
      *
      * @param stream the stream
-     * @param sequence the batch's sequence
-     * @param result the answer
+     * @param sequence the sequence number of the batch
+     * @param result the result
      */
     record AppendSettled(LogStream stream, long sequence, AppendResult result) implements CompanionEvent {}
 
-    /** Time has passed; about every 50 ms. */
+    /** Periodic event, about every 50 ms. */
     record Tick() implements CompanionEvent {}
 
     /** The process has been asked to stop. */
     record DrainRequested() implements CompanionEvent {}
 
     /**
-     * A target's load.
+     * The load of a target.
      *
-     * @param running requests that it runs
-     * @param waiting requests that wait inside it
-     * @param weightVersion the active version; empty for plain services
-     * @param ageMillis how old the report says it is
+     * @param running number of running requests
+     * @param waiting number of requests that wait inside the target
+     * @param weightVersion the active weight version; empty for plain services
+     * @param ageMillis age of the report in milliseconds, according to the target
      */
     record TargetLoad(int running, int waiting, String weightVersion, long ageMillis) {}
 
@@ -176,23 +176,23 @@
      *
      * @param block the block's name
      * @param incarnation the store's incarnation
-     * @param generation the write generation
-     * @param bytes its length
+     * @param generation the generation of its write
+     * @param bytes its length in bytes
      * @param content the SHA-256 digest of its content
      */
     record StoredBlock(Digest block, long incarnation, long generation, long bytes, Digest content) {}
 
     /** How a move of a block ended. */
     enum MoveOutcome {
-        /** It is in place, checked. */
+        /** The block has arrived and been verified. */
         DONE,
-        /** The source no longer has it, or not as described. */
+        /** The source no longer has the block, or not as described. */
         GONE,
         /** The destination is full. */
         FULL,
-        /** What arrived didn't match its digest or generation; it was dropped. */
+        /** The content didn't match its digest or generation and was dropped. */
         CORRUPT,
-        /** A side didn't answer. */
+        /** The source or the destination didn't answer. */
         UNREACHABLE
     }
 
@@ -200,13 +200,13 @@
     enum OrderOutcome {
         /** The target has reached the desired state. */
         DONE,
-        /** The target has begun and will reach it. */
+        /** The target has started and will reach the desired state. */
         STARTED,
-        /** The target refused an old fencing number. */
+        /** The target refused the order because of its old fencing number. */
         FENCED,
-        /** The target refused for another reason. */
+        /** The target refused the order for another reason. */
         REFUSED,
-        /** No answer: it may or may not have taken effect. */
+        /** There was no answer: the order may or may not have taken effect. */
         LOST
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionMachine.java
@@ -13,40 +13,41 @@
 import org.rattanrudder.core.orders.OrderSettings;
 
 /**
- * Decides what a companion's targets run, and in which order.
+ * State machine of a companion: decides which attempts its targets run, and in which order.
  *
- * <p>An attempt goes through these stages: dispatched by an entry, accepted, its key claimed ({@link KeyGate}), queued,
- * its context fetched ({@link ContextMover}), called, ended. Until it is called it can be refused as not run, and a
- * tombstone keeps that true; afterwards it ends with a whole answer or as unknown.
+ * <p>An attempt goes through these stages: dispatched by an entry, accepted, its idempotency key claimed ({@link
+ * IdempotencyGate}), queued, its context fetched ({@link ContextMover}), called, ended. Until it is called it can be
+ * refused as not run, and a tombstone ensures that it won't run later. Afterwards it ends with a complete answer or as
+ * unknown.
  */
 public final class CompanionMachine implements StateMachine<CompanionEvent, CompanionEffect> {
-    private final PauseWatch pauses = new PauseWatch();
+    private final PauseDetector pauseDetector = new PauseDetector();
     private final Links links = new Links();
     private final Attempts attempts = new Attempts();
-    private final Targets targets;
-    private final DocumentsInForce documents;
-    private final Runs runs;
-    private final Intake intake;
-    private final Answers answers;
-    private final Supervision supervision;
-    private final StateReports reports;
-    private final KeyGate gate;
+    private final AssignedTargets targets;
+    private final ActiveDocuments documents;
+    private final AttemptRunner runner;
+    private final AttemptFrameHandler frameHandler;
+    private final TargetAnswerHandler answerHandler;
+    private final AttemptTimeouts timeouts;
+    private final HeartbeatSender heartbeats;
+    private final IdempotencyGate gate;
     private final List<CompanionPart> parts;
     private boolean drained;
 
     /**
-     * Creates a companion that knows no document yet.
+     * Creates a companion without documents.
      *
-     * @param settings what it knows of itself
-     * @param reader reads documents
-     * @param random spreads the times at which refused callers come back
+     * @param settings identity of the companion
+     * @param reader parses documents
+     * @param random adds jitter to retry times
      */
     public CompanionMachine(CompanionSettings settings, DocumentReader reader, RandomGenerator random) {
         this(
                 settings,
                 reader,
                 random,
-                new ClaimGate(settings, ClaimSettings.DEFAULT, random),
+                new LogIdempotencyGate(settings, ClaimSettings.DEFAULT, random),
                 new StoredContextMover(random));
     }
 
@@ -54,47 +55,47 @@
             CompanionSettings settings,
             DocumentReader reader,
             RandomGenerator random,
-            KeyGate gate,
+            IdempotencyGate gate,
             ContextMover mover) {
         this.gate = gate;
         Tombstones tombstones = new Tombstones();
-        targets = new Targets(settings.advertised());
-        documents = new DocumentsInForce(reader);
-        runs = new Runs(attempts, tombstones, gate, mover, new RetryAfterPolicy(random));
-        intake = new Intake(settings.incarnation(), targets, attempts, tombstones, runs);
-        answers = new Answers(attempts, gate, runs);
-        supervision = new Supervision(attempts, intake, runs);
-        reports = new StateReports(settings, targets, documents, links, intake, mover);
+        targets = new AssignedTargets(settings.advertised());
+        documents = new ActiveDocuments(reader);
+        runner = new AttemptRunner(attempts, tombstones, gate, mover, new RetryAfterPolicy(random));
+        frameHandler = new AttemptFrameHandler(settings.incarnation(), targets, attempts, tombstones, runner);
+        answerHandler = new TargetAnswerHandler(attempts, gate, runner);
+        timeouts = new AttemptTimeouts(attempts, frameHandler, runner);
+        heartbeats = new HeartbeatSender(settings, targets, documents, links, frameHandler, mover);
         EngineOrders orders = new EngineOrders(settings.incarnation(), OrderSettings.DEFAULT, random);
         parts = List.of(gate, mover, orders);
     }
 
     @Override
     public void handle(CompanionEvent event, long nowMicros, Consumer<? super CompanionEffect> effects) {
-        Turn turn = new Turn(nowMicros, effects);
-        if (!takeFromTarget(event, turn) && !takeFromEntry(event, turn)) {
-            takeOther(event, turn);
+        EventContext context = new EventContext(nowMicros, effects);
+        if (!handleTargetEvent(event, context) && !handleEntryEvent(event, context)) {
+            handleOtherEvent(event, context);
         }
-        parts.forEach(part -> part.handle(event, turn));
-        reports.report(turn);
-        sayDrained(turn);
+        parts.forEach(part -> part.handle(event, context));
+        heartbeats.sendIfDue(context);
+        reportDrained(context);
     }
 
-    private boolean takeFromTarget(CompanionEvent event, Turn turn) {
+    private boolean handleTargetEvent(CompanionEvent event, EventContext context) {
         if (event instanceof CompanionEvent.TargetChunk chunk) {
-            answers.chunk(chunk, turn);
-        } else if (event instanceof CompanionEvent.TargetAnswerStarted answered) {
-            answers.answered(answered, turn);
+            answerHandler.onChunk(chunk, context);
+        } else if (event instanceof CompanionEvent.TargetAnswerStarted started) {
+            answerHandler.onStarted(started, context);
         } else if (event instanceof CompanionEvent.TargetAnswerEnded ended) {
-            answers.ended(ended, turn);
+            answerHandler.onEnded(ended, context);
         } else if (event instanceof CompanionEvent.TargetFailed failed) {
-            answers.failed(failed, turn);
+            answerHandler.onFailed(failed, context);
         } else if (event instanceof CompanionEvent.LoadReported reported) {
-            takeLoad(reported, turn);
+            handleLoadReport(reported, context);
         } else if (event instanceof CompanionEvent.LoadReportMissed missed) {
-            HeldTarget target = targets.find(missed.target());
+            AssignedTarget target = targets.find(missed.target());
             if (target != null) {
-                target.missReport(turn.nowMicros());
+                target.onReportMissed(context.nowMicros());
             }
         } else {
             return false;
@@ -102,126 +103,132 @@
         return true;
     }
 
-    private boolean takeFromEntry(CompanionEvent event, Turn turn) {
+    private boolean handleEntryEvent(CompanionEvent event, EventContext context) {
         if (event instanceof CompanionEvent.FrameArrived arrived) {
-            takeFrame(arrived.link(), arrived.frame(), turn);
+            handleFrame(arrived.link(), arrived.frame(), context);
         } else if (event instanceof CompanionEvent.LinkOpened opened) {
-            openLink(opened, turn);
+            openLink(opened, context);
         } else if (event instanceof CompanionEvent.LinkClosed closed) {
             links.close(closed.link());
-            detach(closed.link(), turn);
+            detachAttempts(closed.link(), context);
         } else {
             return false;
         }
         return true;
     }
 
-    private void takeOther(CompanionEvent event, Turn turn) {
+    private void handleOtherEvent(CompanionEvent event, EventContext context) {
         if (event instanceof CompanionEvent.Tick) {
-            tick(turn);
+            tick(context);
         } else if (event instanceof CompanionEvent.LogRead read && read.stream() == LogStream.CONFIGURATION) {
-            if (documents.read(read.records(), turn)) {
-                configure(turn);
+            if (documents.onLogRead(read.records(), context)) {
+                applyDocuments(context);
             }
         } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == LogStream.CONFIGURATION) {
-            documents.readFailed();
+            documents.onLogReadFailed();
         } else if (event instanceof CompanionEvent.DrainRequested) {
-            drain(turn);
+            drain(context);
         }
     }
 
     /**
-     * Takes a frame. One from a link that is closed or replaced, or of another entry's attempt, is a leftover of an
-     * earlier connection or process: it is dropped, since its sender can't be waiting for an answer here.
+     * Handles a frame. A frame from a closed or replaced link, or for an attempt of another entry, is left over from an
+     * earlier connection or process. It is dropped, since its sender can't be waiting for an answer on this link.
      */
-    private void takeFrame(long link, Frame frame, Turn turn) {
-        if (!links.hear(link, turn.nowMicros())) {
+    private void handleFrame(long link, Frame frame, EventContext context) {
+        if (!links.onFrame(link, context.nowMicros())) {
             return;
         }
-        if (frame instanceof Frame.AttemptFrame ofAttempt
-                && links.belongsTo(link, ofAttempt.attempt().entryIncarnation())) {
-            intake.take(link, ofAttempt, turn);
-        } else if (documents.hear(link, frame, turn)) {
-            configure(turn);
+        if (frame instanceof Frame.AttemptFrame attemptFrame
+                && links.belongsTo(link, attemptFrame.attempt().entryIncarnation())) {
+            frameHandler.handle(link, attemptFrame, context);
+        } else if (documents.onFrame(link, frame, context)) {
+            applyDocuments(context);
         }
     }
 
-    private void openLink(CompanionEvent.LinkOpened opened, Turn turn) {
-        links.open(opened.link(), opened.hello(), turn.nowMicros()).ifPresent(older -> closeLink(older, turn));
-        reports.greet(opened.link(), turn);
-        documents.linked(opened.link(), turn);
-        if (intake.isDraining()) {
-            turn.ask(new CompanionEffect.SendFrame(opened.link(), new Frame.Leaving()));
+    private void openLink(CompanionEvent.LinkOpened opened, EventContext context) {
+        links.open(opened.link(), opened.hello(), context.nowMicros()).ifPresent(older -> closeLink(older, context));
+        heartbeats.sendTo(opened.link(), context);
+        documents.onLinkOpened(opened.link(), context);
+        if (frameHandler.isDraining()) {
+            context.emit(new CompanionEffect.SendFrame(opened.link(), new Frame.Leaving()));
         }
     }
 
-    private void closeLink(long link, Turn turn) {
-        turn.ask(new CompanionEffect.CloseLink(link));
-        detach(link, turn);
+    private void closeLink(long link, EventContext context) {
+        context.emit(new CompanionEffect.CloseLink(link));
+        detachAttempts(link, context);
     }
 
-    private void detach(long link, Turn turn) {
-        attempts.matching(attempt -> attempt.link() == link).forEach(attempt -> attempt.detach(turn.nowMicros()));
+    private void detachAttempts(long link, EventContext context) {
+        attempts.matching(attempt -> attempt.link() == link).forEach(attempt -> attempt.detach(context.nowMicros()));
     }
 
-    private void tick(Turn turn) {
-        if (!pauses.mayJudge(turn.nowMicros())) {
+    private void tick(EventContext context) {
+        if (!pauseDetector.tick(context.nowMicros())) {
             return;
         }
-        for (long silent : links.dropSilent(turn.nowMicros())) {
-            turn.note("link_silent", "link", Long.toString(silent));
-            closeLink(silent, turn);
+        for (long idle : links.removeIdle(context.nowMicros())) {
+            context.logEvent("link_silent", "link", Long.toString(idle));
+            closeLink(idle, context);
         }
-        supervision.tick(turn);
-        targets.all().forEach(target -> runs.review(target, turn));
-        targets.forgetIdle();
+        timeouts.tick(context);
+        targets.all().forEach(target -> runner.checkQueue(target, context));
+        targets.removeIdle();
     }
 
-    /** An attempt that waits was admitted for the version before; one that runs keeps its own. */
-    private void takeLoad(CompanionEvent.LoadReported reported, Turn turn) {
-        HeldTarget target = targets.find(reported.target());
-        if (target != null && target.report(reported.load())) {
-            runs.refuseQueued(target, ErrorKind.VERSION_CHANGED, turn);
-            announce(turn);
+    /**
+     * Refuses queued attempts when the weight version changes, since they were admitted for the previous one. Running
+     * attempts continue with theirs.
+     */
+    private void handleLoadReport(CompanionEvent.LoadReported reported, EventContext context) {
+        AssignedTarget target = targets.find(reported.target());
+        if (target != null && target.onLoadReport(reported.load())) {
+            runner.refuseQueued(target, ErrorKind.VERSION_CHANGED, context);
+            notifyParts(context);
         }
     }
 
-    private void configure(Turn turn) {
-        targets.apply(documents.documents(), turn);
-        for (HeldTarget target : targets.all()) {
+    private void applyDocuments(EventContext context) {
+        targets.apply(documents.documents(), context);
+        for (AssignedTarget target : targets.all()) {
             if (!target.isOpen()) {
-                runs.refuseQueued(target, ErrorKind.DRAINING, turn);
+                runner.refuseQueued(target, ErrorKind.DRAINING, context);
             }
-            runs.fill(target, turn);
+            runner.fillSlots(target, context);
         }
-        announce(turn);
+        notifyParts(context);
     }
 
-    private void announce(Turn turn) {
-        parts.forEach(part -> part.configured(targets.all(), turn));
+    private void notifyParts(EventContext context) {
+        parts.forEach(part -> part.onTargetsChanged(targets.all(), context));
     }
 
-    /** Hands back what waits at once, so that the entries send it elsewhere, and lets finish what runs. */
-    private void drain(Turn turn) {
-        if (intake.isDraining()) {
+    /** Returns queued attempts at once, so that entries send them elsewhere, and lets running ones finish. */
+    private void drain(EventContext context) {
+        if (frameHandler.isDraining()) {
             return;
         }
-        intake.drain();
-        links.all().forEach(link -> turn.ask(new CompanionEffect.SendFrame(link, new Frame.Leaving())));
-        attempts.matching(Attempt::isBeforeCall).forEach(attempt -> runs.handBack(attempt, turn));
+        frameHandler.drain();
+        links.all().forEach(link -> context.emit(new CompanionEffect.SendFrame(link, new Frame.Leaving())));
+        attempts.matching(Attempt::isBeforeCall).forEach(attempt -> runner.returnToEntry(attempt, context));
     }
 
-    private void sayDrained(Turn turn) {
-        if (intake.isDraining()
+    private void reportDrained(EventContext context) {
+        if (frameHandler.isDraining()
                 && !drained
                 && attempts.matching(CompanionMachine::isUnfinished).isEmpty()
-                && gate.isSettled(turn.nowMicros())) {
+                && gate.isSettled(context.nowMicros())) {
             drained = true;
-            turn.ask(new CompanionEffect.Drained());
+            context.emit(new CompanionEffect.Drained());
         }
     }
 
-    /** An answer that has ended is finished once its entry's link took it all. */
+    /**
+     * Returns whether an attempt still holds up the drain: it hasn't ended, or its answer couldn't be sent for lack of
+     * a link.
+     */
     private static boolean isUnfinished(Attempt attempt) {
         return attempt.stage() != Attempt.Stage.ENDED || attempt.isDetached();
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionPart.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CompanionPart.java
@@ -2,16 +2,16 @@
 
 import java.util.Collection;
 
-/** A part of the companion's machine that sees every event after the machine itself has taken it. */
+/** A part of {@link CompanionMachine} that handles every event after the state machine itself. */
 interface CompanionPart {
-    /** Takes an event; a part ignores what doesn't concern it. */
-    default void handle(CompanionEvent event, Turn turn) {}
+    /** Handles an event; events that don't concern the part are ignored. */
+    default void handle(CompanionEvent event, EventContext context) {}
 
     /**
-     * Takes the targets that this companion holds, after a document or a target changed.
+     * Handles a change of the assigned targets, or of the weight version of one.
      *
-     * @param targets all of them
-     * @param turn the present turn
+     * @param targets all assigned targets
+     * @param context the context of the current event
      */
-    default void configured(Collection<HeldTarget> targets, Turn turn) {}
+    default void onTargetsChanged(Collection<AssignedTarget> targets, EventContext context) {}
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ContextMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ContextMover.java
@@ -8,57 +8,59 @@
 import org.rattanrudder.core.model.Digest;
 import org.rattanrudder.core.model.TargetName;
 
-/** Brings a prompt's context into its engine's cache before the call, and keeps what the engine would lose. */
+/**
+ * Fetches a prompt's context into its engine's cache before the call, and saves context that the engine would evict.
+ */
 interface ContextMover extends CompanionPart {
-    /** Moves nothing: every prompt is called at once. */
-    ContextMover NONE = (run, turn, callback) -> callback.fetched(Fetched.NOTHING, turn);
+    /** A mover that fetches nothing, so that every prompt is called at once. */
+    ContextMover NONE = (run, context, callback) -> callback.onFetched(Fetched.NOTHING, context);
 
     /**
-     * Fetches what is worth fetching for a prompt that has its place at the engine. The callback is called once, now or
-     * in a later turn, unless the attempt is dropped first.
+     * Fetches the context that is worth fetching for a prompt that holds a slot at the engine. The callback is called
+     * once, now or while a later event is handled, unless the attempt is dropped first.
      *
      * @param run the prompt
-     * @param turn the present turn
-     * @param callback goes on with the call
+     * @param context the context of the current event
+     * @param callback continues with the call
      */
-    void fetch(PromptRun run, Turn turn, Callback callback);
+    void fetch(PromptRun run, EventContext context, Callback callback);
 
-    /** Hears of a prompt that waits, so that its context may be fetched meanwhile. */
-    default void queued(PromptRun run, Turn turn) {}
+    /** Handles a prompt that was queued, so that its context can be prefetched. */
+    default void onQueued(PromptRun run, EventContext context) {}
 
-    /** Hears that an attempt ended before its answer was whole, at any time after it was queued. */
-    default void dropped(AttemptId attempt, Turn turn) {}
+    /** Handles an attempt that ended without a complete answer, at any time after it was queued. */
+    default void onDropped(AttemptId attempt, EventContext context) {}
 
-    /** Hears that a prompt was answered, and what it cost. */
-    default void ended(PromptRun run, Usage usage, Turn turn) {}
+    /** Handles a prompt whose answer is complete. */
+    default void onEnded(PromptRun run, Usage usage, EventContext context) {}
 
-    /** Returns the measured speed of fetching context to a target in bytes per second; 0 if not yet known. */
+    /** Returns the measured rate of context fetches to a target in bytes per second; 0 before the first measurement. */
     default long fetchBytesPerSecond(TargetName target) {
         return 0;
     }
 
-    /** Goes on with a prompt whose context is in place. */
+    /** Continues with a prompt once its context has been fetched. */
     @FunctionalInterface
     interface Callback {
-        /** Takes what was fetched; called once. */
-        void fetched(Fetched fetched, Turn turn);
+        /** Called once, with what was fetched. */
+        void onFetched(Fetched fetched, EventContext context);
     }
 
     /**
-     * What was fetched for one prompt.
+     * The context that was fetched for one prompt.
      *
-     * @param tokens tokens whose cache came from a store
-     * @param bytes bytes over the link
+     * @param tokens number of tokens whose cache blocks came from a store
+     * @param bytes number of transferred bytes
      */
     record Fetched(int tokens, long bytes) {
         static final Fetched NOTHING = new Fetched(0, 0);
     }
 
     /**
-     * One prompt on its way to an engine.
+     * A prompt and the engine that it is to run on.
      *
      * @param dispatch the attempt as dispatched
-     * @param salt the root of its block names
+     * @param salt the cache salt, from which its block names are derived
      * @param document the service's document at admission
      * @param target the engine
      */
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CustomerCounts.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/CustomerCounts.java
@@ -7,36 +7,36 @@
 import org.rattanrudder.core.frame.Frame;
 
 /**
- * How many attempts were taken on behalf of each customer, from all entries: together the companions tell each entry
- * what the others let pass of a customer's rate.
+ * Counts the attempts that were accepted for each customer, from all entries. From the counts of all companions, each
+ * entry learns how much of a customer's rate the other entries have admitted.
  */
 final class CustomerCounts {
-    private static final int MOST_KEPT = 4_096;
-    private static final int MOST_REPORTED = 32;
-    private static final long LATELY_MICROS = 5_000_000;
+    private static final int MAX_CUSTOMERS = 4_096;
+    private static final int MAX_REPORTED_CUSTOMERS = 32;
+    private static final long RECENT_MICROS = 5_000_000;
 
-    /** The customer that was counted last is at the end. */
+    /** Ordered by last acceptance, the most recent at the end. */
     private final Map<Long, Count> counts = new LinkedHashMap<>();
 
-    private record Count(long taken, long micros) {}
+    private record Count(long accepted, long lastAcceptedMicros) {}
 
-    void taken(Frame.Dispatch dispatch, long nowMicros) {
+    void recordAccepted(Frame.Dispatch dispatch, long nowMicros) {
         long customer = Frame.customerHash(dispatch.service(), dispatch.customer());
         Count before = counts.remove(customer);
-        counts.put(customer, new Count(before == null ? 1 : before.taken() + 1, nowMicros));
-        if (counts.size() > MOST_KEPT) {
+        counts.put(customer, new Count(before == null ? 1 : before.accepted() + 1, nowMicros));
+        if (counts.size() > MAX_CUSTOMERS) {
             counts.remove(counts.keySet().iterator().next());
         }
     }
 
-    /** Returns the counts that changed lately. */
+    /** Returns the counts that changed within {@link #RECENT_MICROS}. */
     List<Frame.CustomerCount> recent(long nowMicros) {
         List<Frame.CustomerCount> recent = new ArrayList<>();
         counts.forEach((customer, count) -> {
-            if (nowMicros - count.micros() < LATELY_MICROS) {
-                recent.add(new Frame.CustomerCount(customer, count.taken()));
+            if (nowMicros - count.lastAcceptedMicros() < RECENT_MICROS) {
+                recent.add(new Frame.CustomerCount(customer, count.accepted()));
             }
         });
-        return recent.subList(Math.max(0, recent.size() - MOST_REPORTED), recent.size());
+        return recent.subList(Math.max(0, recent.size() - MAX_REPORTED_CUSTOMERS), recent.size());
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
@@ -18,26 +18,26 @@
 import org.rattanrudder.core.orders.TargetKey;
 import org.rattanrudder.core.orders.TargetOrders;
 
-/** Orders this companion's engines to the state that their documents ask for. */
+/** Sends orders to this companion's engines until they have the state that their documents specify. */
 final class EngineOrders implements CompanionPart {
     private final long incarnation;
-    private final OrderSettings terms;
+    private final OrderSettings settings;
     private final LogWriter log;
     private final OrderLedger ledger = new OrderLedger();
     private final Map<TargetName, TargetOrders> orders = new TreeMap<>(Comparator.comparing(TargetName::value));
-    private final Map<TargetName, HeldTarget> targets = new TreeMap<>(Comparator.comparing(TargetName::value));
-    private long lastMicros = Long.MAX_VALUE;
+    private final Map<TargetName, AssignedTarget> targets = new TreeMap<>(Comparator.comparing(TargetName::value));
+    private long lastEventMicros = Long.MAX_VALUE;
 
-    EngineOrders(long incarnation, OrderSettings terms, RandomGenerator random) {
+    EngineOrders(long incarnation, OrderSettings settings, RandomGenerator random) {
         this.incarnation = incarnation;
-        this.terms = terms;
+        this.settings = settings;
         this.log = new LogWriter(LogStream.ORDERS, incarnation, LogWriterSettings.DEFAULT, random);
     }
 
     @Override
-    public void configured(Collection<HeldTarget> held, Turn turn) {
+    public void onTargetsChanged(Collection<AssignedTarget> assigned, EventContext context) {
         targets.clear();
-        for (HeldTarget target : held) {
+        for (AssignedTarget target : assigned) {
             if (!target.isReleased() && target.document().model().isPresent()) {
                 targets.put(target.name(), target);
                 orders.computeIfAbsent(target.name(), name -> newOrders(target))
@@ -48,18 +48,18 @@
     }
 
     @Override
-    public void handle(CompanionEvent event, Turn turn) {
-        long nowMicros = turn.nowMicros();
-        if (nowMicros - lastMicros > terms.pauseThresholdMicros()) {
-            // Failure: a companion that was frozen, by its machine or a signal, goes on where it stood and gives an
-            // order after another took over. Ticks come every 50 ms, so a jump shows the pause, whatever its length.
+    public void handle(CompanionEvent event, EventContext context) {
+        long nowMicros = context.nowMicros();
+        if (nowMicros - lastEventMicros > settings.pauseThresholdMicros()) {
+            // A companion that was frozen, with its machine or by a signal, would resume where it stopped and could
+            // send an order after another took over. Ticks come every 50 ms, so a gap between events shows the pause.
             orders.values().forEach(TargetOrders::onPause);
-            ledger.onPause(nowMicros, terms.staleReadMicros());
-            turn.note("paused", "micros", Long.toString(nowMicros - lastMicros));
+            ledger.onPause(nowMicros, settings.staleReadMicros());
+            context.logEvent("paused", "micros", Long.toString(nowMicros - lastEventMicros));
         }
-        lastMicros = nowMicros;
+        lastEventMicros = nowMicros;
         if (event instanceof CompanionEvent.LogRead read && read.stream() == LogStream.ORDERS) {
-            read(read, nowMicros);
+            onLogRead(read, nowMicros);
         } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == LogStream.ORDERS) {
             log.onReadFailed();
         } else if (event instanceof CompanionEvent.AppendSettled settled && settled.stream() == LogStream.ORDERS) {
@@ -68,22 +68,22 @@
             orders.get(reported.target()).onVersionReported(reported.load().weightVersion(), nowMicros);
         } else if (event instanceof CompanionEvent.OrderAnswered answered && orders.containsKey(answered.target())) {
             orders.get(answered.target())
-                    .onAnswer(answered.fencing(), answered.outcome(), nowMicros, actions(answered.target(), turn));
+                    .onAnswer(answered.fencing(), answered.outcome(), nowMicros, actions(answered.target(), context));
         } else if (!(event instanceof CompanionEvent.Tick)) {
             return;
         }
-        orders.forEach((name, each) -> each.advance(nowMicros, actions(name, turn)));
-        log.sendDue(nowMicros, (stream, batch) -> turn.ask(new CompanionEffect.Append(stream, batch)));
+        orders.forEach((name, each) -> each.advance(nowMicros, actions(name, context)));
+        log.sendDue(nowMicros, (stream, batch) -> context.emit(new CompanionEffect.Append(stream, batch)));
     }
 
-    private TargetOrders newOrders(HeldTarget target) {
-        return new TargetOrders(new TargetKey(target.service(), target.name()), incarnation, ledger, terms);
+    private TargetOrders newOrders(AssignedTarget target) {
+        return new TargetOrders(new TargetKey(target.service(), target.name()), incarnation, ledger, settings);
     }
 
-    private void read(CompanionEvent.LogRead read, long nowMicros) {
+    private void onLogRead(CompanionEvent.LogRead read, long nowMicros) {
         for (LogRecord record : read.records()) {
             if (ledger.apply(record, nowMicros) && record.batch().writer() == incarnation) {
-                record.batch().entries().forEach(entry -> readBack(entry, record.offset(), nowMicros));
+                record.batch().entries().forEach(entry -> onReadBack(entry, record.offset(), nowMicros));
             }
         }
         if (read.caughtUp()) {
@@ -92,33 +92,33 @@
         log.onRecords(read.records(), read.caughtUp());
     }
 
-    private void readBack(LogEntry entry, long offset, long nowMicros) {
+    private void onReadBack(LogEntry entry, long offset, long nowMicros) {
         orders.values().forEach(each -> each.onReadBack(entry, offset, nowMicros));
     }
 
-    private OrderActions actions(TargetName name, Turn turn) {
-        HeldTarget target = targets.get(name);
+    private OrderActions actions(TargetName name, EventContext context) {
+        AssignedTarget target = targets.get(name);
         return new OrderActions() {
             @Override
             public boolean append(LogEntry entry) {
-                return log.offer(entry, turn.nowMicros()) == LogWriter.OfferResult.QUEUED;
+                return log.offer(entry, context.nowMicros()) == LogWriter.OfferResult.QUEUED;
             }
 
             @Override
             public void sendOrder(long fencing, DesiredState state) {
-                turn.ask(new CompanionEffect.SendOrder(
+                context.emit(new CompanionEffect.SendOrder(
                         name, target.settings().address(), fencing, state.model(), state.version(), state.adapters()));
             }
 
             @Override
             public void queryLastOrder() {
-                turn.ask(new CompanionEffect.QueryLastOrder(
+                context.emit(new CompanionEffect.QueryLastOrder(
                         name, target.settings().address()));
             }
 
             @Override
             public void logEvent(String event, String... fields) {
-                turn.note(event, fields);
+                context.logEvent(event, fields);
             }
         };
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Links.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Links.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 import org.rattanrudder.core.frame.Frame;
 
-/** The links that entries have opened to this companion. */
+/** The open links from entries to this companion. */
 final class Links {
-    /** How long a link may bring nothing before it is taken for dead. */
-    static final long SILENT_AFTER_MICROS = 3_000_000;
+    /** Time without a frame after which a link counts as dead. */
+    static final long IDLE_TIMEOUT_MICROS = 3_000_000;
 
     private final Map<Long, Link> links = new HashMap<>();
 
-    /** Takes a new link; returns an older link of the same entry, which it replaces. */
+    /** Adds a link. Returns the older link of the same entry that it replaces, if there is one. */
     Optional<Long> open(long number, Frame.Hello hello, long nowMicros) {
         Optional<Long> older = links.values().stream()
                 .filter(link -> link.hello.incarnation() == hello.incarnation())
@@ -29,13 +29,13 @@
         links.remove(number);
     }
 
-    /** Takes note that a frame came; returns whether the link is one of ours. */
-    boolean hear(long number, long nowMicros) {
+    /** Records that a frame arrived; returns whether the link is open. */
+    boolean onFrame(long number, long nowMicros) {
         Link link = links.get(number);
         if (link == null) {
             return false;
         }
-        link.heardMicros = nowMicros;
+        link.lastFrameMicros = nowMicros;
         return true;
     }
 
@@ -46,27 +46,27 @@
     }
 
     /**
-     * Takes out the links that have been silent too long, and returns them.
+     * Removes the links whose idle timeout has expired, and returns them.
      *
-     * <p>A connection that something between the ends has lost track of stays open for good and brings nothing. Entries
-     * send a heartbeat each second on a live one, so three seconds of silence show it, and the entry opens another.
+     * <p>A connection whose state a device in between has lost stays open without ever delivering a frame. Entries send
+     * a heartbeat every second, so three seconds without one indicate such a link, and the entry opens another.
      */
-    List<Long> dropSilent(long nowMicros) {
-        List<Long> silent = links.values().stream()
-                .filter(link -> nowMicros - link.heardMicros >= SILENT_AFTER_MICROS)
+    List<Long> removeIdle(long nowMicros) {
+        List<Long> idle = links.values().stream()
+                .filter(link -> nowMicros - link.lastFrameMicros >= IDLE_TIMEOUT_MICROS)
                 .map(link -> link.number)
                 .sorted()
                 .toList();
-        silent.forEach(links::remove);
-        return silent;
+        idle.forEach(links::remove);
+        return idle;
     }
 
-    /** Returns the number of the next heartbeat on a link. */
+    /** Returns the sequence number of the next heartbeat on a link. */
     long nextHeartbeat(long number) {
         return links.get(number).heartbeats++;
     }
 
-    /** Returns all links, in the order in which they were opened. */
+    /** Returns the numbers of all links, in the order in which they were opened. */
     List<Long> all() {
         List<Long> numbers = new ArrayList<>(links.keySet());
         numbers.sort(null);
@@ -76,13 +76,13 @@
     private static final class Link {
         private final long number;
         private final Frame.Hello hello;
-        private long heardMicros;
+        private long lastFrameMicros;
         private long heartbeats;
 
         Link(long number, Frame.Hello hello, long nowMicros) {
             this.number = number;
             this.hello = hello;
-            this.heardMicros = nowMicros;
+            this.lastFrameMicros = nowMicros;
         }
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/ClaimGate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/LogIdempotencyGate.java
@@ -19,26 +19,31 @@
 import org.rattanrudder.core.model.Refusal;
 import org.rattanrudder.core.model.RunState;
 
-/** Lets an attempt with an idempotency key run only once its claim holds in the log, and records its answer there. */
-final class ClaimGate implements KeyGate {
-    /** How long a drained companion waits for the log to take the ends of its runs. */
-    static final long SETTLE_MICROS = 5_000_000;
+/**
+ * Lets an attempt with an idempotency key run only after its claim was read back from the log, and records its answer
+ * in the log.
+ */
+final class LogIdempotencyGate implements IdempotencyGate {
+    /** How long a drained companion waits until the outcomes of its attempts are in the log. */
+    static final long DRAIN_TIMEOUT_MICROS = 5_000_000;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
 
     private final ClaimSettings settings;
     private final KeyClaims claims;
-    private final Map<AttemptId, Callback> held = new HashMap<>();
+    private final Map<AttemptId, Callback> pendingCallbacks = new HashMap<>();
     private final Map<AttemptId, Answer> answers = new HashMap<>();
-    private long settleByMicros = Long.MAX_VALUE;
+    private long drainDeadlineMicros = Long.MAX_VALUE;
 
-    ClaimGate(CompanionSettings companion, ClaimSettings settings, RandomGenerator random) {
+    LogIdempotencyGate(CompanionSettings companion, ClaimSettings settings, RandomGenerator random) {
         this.settings = settings;
         LogWriter writer = new LogWriter(LogStream.CLAIMS, companion.incarnation(), LogWriterSettings.DEFAULT, random);
         this.claims = new KeyClaims(companion.incarnation(), companion.instance(), settings, writer, random);
     }
 
-    /** What has come of an answer; of a body that is too large to be recorded only as much as shows that it is. */
+    /**
+     * An answer that is being received. Of a body that is too large to be recorded, only enough is kept to detect that.
+     */
     private static final class Answer {
         private int status;
         private List<Header> headers = List.of();
@@ -46,9 +51,9 @@
     }
 
     @Override
-    public void claim(Frame.Dispatch dispatch, Turn turn, Callback callback) {
+    public void claim(Frame.Dispatch dispatch, EventContext context, Callback callback) {
         if (dispatch.idempotent() || dispatch.idempotencyKey().isEmpty()) {
-            callback.decided(new Granted(), turn);
+            callback.onDecision(new Granted(), context);
             return;
         }
         KeyedCall call = KeyedCall.of(
@@ -57,17 +62,17 @@
                 dispatch.idempotencyKey().get(),
                 dispatch.call());
         AttemptId attempt = dispatch.attempt();
-        long deadline = turn.nowMicros() + dispatch.deadlineMicros();
-        KeyDecision decision = claims.admit(attempt, call, turn.nowMicros(), deadline);
+        long deadline = context.nowMicros() + dispatch.deadlineMicros();
+        KeyDecision decision = claims.admit(attempt, call, context.nowMicros(), deadline);
         if (decision instanceof KeyDecision.Hold) {
-            held.put(attempt, callback);
+            pendingCallbacks.put(attempt, callback);
         } else {
-            decide(attempt, decision, callback, turn);
+            decide(attempt, decision, callback, context);
         }
     }
 
     @Override
-    public void answered(AttemptId attempt, int status, List<Header> headers) {
+    public void onAnswerStarted(AttemptId attempt, int status, List<Header> headers) {
         Answer answer = answers.get(attempt);
         if (answer != null) {
             answer.status = status;
@@ -76,7 +81,7 @@
     }
 
     @Override
-    public void chunk(AttemptId attempt, byte[] bytes) {
+    public void onChunk(AttemptId attempt, byte[] bytes) {
         Answer answer = answers.get(attempt);
         if (answer != null && answer.body.size() <= settings.maxRecordedBodyBytes()) {
             answer.body.write(bytes, 0, Math.min(bytes.length, settings.maxRecordedBodyBytes() + 1));
@@ -84,8 +89,8 @@
     }
 
     @Override
-    public void ended(AttemptId attempt, Ending ending, Turn turn) {
-        if (held.remove(attempt) != null) {
+    public void onEnded(AttemptId attempt, Outcome outcome, EventContext context) {
+        if (pendingCallbacks.remove(attempt) != null) {
             claims.cancel(attempt);
             return;
         }
@@ -93,7 +98,7 @@
         if (answer == null) {
             return;
         }
-        switch (ending) {
+        switch (outcome) {
             case ANSWERED -> claims.recordAnswer(attempt, answer.status, answer.headers, answer.body.toByteArray());
             case NOT_RUN -> claims.recordNotRun(attempt);
             default -> claims.recordUnresolved(attempt);
@@ -102,54 +107,54 @@
 
     @Override
     public boolean isSettled(long nowMicros) {
-        return claims.isDrained() || nowMicros >= settleByMicros;
+        return claims.isDrained() || nowMicros >= drainDeadlineMicros;
     }
 
     @Override
-    public void configured(Collection<HeldTarget> targets, Turn turn) {
-        for (HeldTarget target : targets) {
+    public void onTargetsChanged(Collection<AssignedTarget> targets, EventContext context) {
+        for (AssignedTarget target : targets) {
             long seconds = target.document().limits().keyRetentionSeconds();
             claims.setKeyRetention(target.service(), seconds * MICROS_PER_SECOND);
         }
     }
 
     @Override
-    public void handle(CompanionEvent event, Turn turn) {
-        long now = turn.nowMicros();
-        KeyDecision.Listener sink = (attempt, decision) -> decideHeld(attempt, decision, turn);
+    public void handle(CompanionEvent event, EventContext context) {
+        long now = context.nowMicros();
+        KeyDecision.Listener listener = (attempt, decision) -> decidePending(attempt, decision, context);
         if (event instanceof CompanionEvent.LogRead read && read.stream() == LogStream.CLAIMS) {
-            claims.onRecords(read.records(), read.caughtUp(), now, sink);
+            claims.onRecords(read.records(), read.caughtUp(), now, listener);
         } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == LogStream.CLAIMS) {
             claims.onReadFailed();
         } else if (event instanceof CompanionEvent.AppendSettled settled && settled.stream() == LogStream.CLAIMS) {
             claims.onAppendResult(settled.sequence(), settled.result(), now);
         } else if (event instanceof CompanionEvent.Tick) {
-            claims.tick(now, sink);
+            claims.tick(now, listener);
         } else if (event instanceof CompanionEvent.DrainRequested) {
-            settleByMicros = Math.min(settleByMicros, now + SETTLE_MICROS);
+            drainDeadlineMicros = Math.min(drainDeadlineMicros, now + DRAIN_TIMEOUT_MICROS);
         }
-        claims.sendDue(now, (stream, batch) -> turn.ask(new CompanionEffect.Append(stream, batch)));
+        claims.sendDue(now, (stream, batch) -> context.emit(new CompanionEffect.Append(stream, batch)));
     }
 
-    private void decideHeld(AttemptId attempt, KeyDecision decision, Turn turn) {
-        Callback callback = held.remove(attempt);
+    private void decidePending(AttemptId attempt, KeyDecision decision, EventContext context) {
+        Callback callback = pendingCallbacks.remove(attempt);
         if (callback != null) {
-            decide(attempt, decision, callback, turn);
+            decide(attempt, decision, callback, context);
         }
     }
 
-    private void decide(AttemptId attempt, KeyDecision decision, Callback callback, Turn turn) {
+    private void decide(AttemptId attempt, KeyDecision decision, Callback callback, EventContext context) {
         if (decision instanceof KeyDecision.Run) {
             answers.put(attempt, new Answer());
-            callback.decided(new Granted(), turn);
+            callback.onDecision(new Granted(), context);
         } else if (decision instanceof KeyDecision.Replay replay) {
-            callback.decided(new Repeat(replay.answer()), turn);
+            callback.onDecision(new Replay(replay.answer()), context);
         } else if (decision instanceof KeyDecision.Refuse refuse) {
             Refusal refusal = refuse.refusal();
-            // An attempt that meets a running or unknown call hasn't run itself, but its key's call may have: the
-            // caller hears that, and not "not run".
+            // An attempt whose key has a running or unknown call hasn't run itself, but that call may have. So the
+            // caller gets "unknown" and not "not run".
             boolean unknown = refusal.kind().runState() == RunState.UNKNOWN;
-            callback.decided(unknown ? new Unknown(refusal) : new Refused(refusal), turn);
+            callback.onDecision(unknown ? new OutcomeUnknown(refusal) : new Refused(refusal), context);
         }
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/PrefillSpeed.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/PrefillSpeed.java
@@ -1,30 +1,32 @@
 package org.rattanrudder.core.companion;
 
-/** How fast an engine computes context, measured from its answers. */
+/** An engine's prefill speed, as a moving average over its answers. */
 final class PrefillSpeed {
-    /** With fewer tokens to compute, the time to the first one says little about the speed. */
-    private static final int FEWEST_TOKENS = 256;
+    /**
+     * Minimum number of computed tokens of a sample. With fewer, the time to the first token depends little on prefill.
+     */
+    private static final int MIN_COMPUTED_TOKENS = 256;
 
-    private static final double SMOOTHING = 0.1;
+    private static final double SMOOTHING_RATIO = 0.1;
     private static final double MICROS_PER_SECOND = 1_000_000;
 
     private double tokensPerSecond;
 
     /**
-     * Takes one answer.
+     * Records one answer.
      *
-     * @param computedTokens tokens of the prompt that weren't cached
-     * @param firstChunkMicros time from the call to the first chunk
+     * @param computedTokens number of prompt tokens that weren't cached
+     * @param firstChunkMicros time from the call to the first chunk in microseconds
      */
-    void measured(int computedTokens, long firstChunkMicros) {
-        if (computedTokens < FEWEST_TOKENS || firstChunkMicros <= 0) {
+    void record(int computedTokens, long firstChunkMicros) {
+        if (computedTokens < MIN_COMPUTED_TOKENS || firstChunkMicros <= 0) {
             return;
         }
         double speed = computedTokens * MICROS_PER_SECOND / firstChunkMicros;
-        tokensPerSecond = tokensPerSecond == 0 ? speed : tokensPerSecond + SMOOTHING * (speed - tokensPerSecond);
+        tokensPerSecond = tokensPerSecond == 0 ? speed : tokensPerSecond + SMOOTHING_RATIO * (speed - tokensPerSecond);
     }
 
-    /** Returns the speed; 0 until it has been measured. */
+    /** Returns the average speed; 0 before the first sample. */
     long tokensPerSecond() {
         return Math.round(tokensPerSecond);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/StoredContextMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/StoredContextMover.java
@@ -15,62 +15,62 @@
 import org.rattanrudder.core.model.AttemptId;
 import org.rattanrudder.core.model.TargetName;
 
-/** Moves context between the engines and the service's stores, as {@link BlockMover} decides. */
+/** Moves context between engines and the stores of their service, as {@link BlockMover} decides. */
 final class StoredContextMover implements ContextMover {
     private final BlockMover mover;
-    private final Map<AttemptId, Waiting> waiting = new HashMap<>();
-    private final Map<TargetName, HeldTarget> engines = new HashMap<>();
+    private final Map<AttemptId, PendingPrompt> pendingPrompts = new HashMap<>();
+    private final Map<TargetName, AssignedTarget> engines = new HashMap<>();
 
     StoredContextMover(RandomGenerator random) {
         mover = new BlockMover(MoverPolicy.DEFAULT, BlockMover.MAX_CATALOG_BLOCKS, random);
     }
 
     @Override
-    public void configured(Collection<HeldTarget> targets, Turn turn) {
+    public void onTargetsChanged(Collection<AssignedTarget> targets, EventContext context) {
         Set<TargetName> before = Set.copyOf(engines.keySet());
         engines.clear();
-        for (HeldTarget target : targets) {
+        for (AssignedTarget target : targets) {
             if (target.isEngine()) {
                 engines.put(target.name(), target);
-                mover.updateTarget(target.document(), target.settings(), turn.nowMicros());
+                mover.updateTarget(target.document(), target.settings(), context.nowMicros());
             }
         }
         before.stream().filter(name -> !engines.containsKey(name)).forEach(mover::removeTarget);
     }
 
     @Override
-    public void queued(PromptRun run, Turn turn) {
-        begin(run, turn);
+    public void onQueued(PromptRun run, EventContext context) {
+        prepare(run, context);
     }
 
     @Override
-    public void fetch(PromptRun run, Turn turn, Callback callback) {
-        begin(run, turn);
-        Waiting prompt = waiting.get(run.attempt());
+    public void fetch(PromptRun run, EventContext context, Callback callback) {
+        prepare(run, context);
+        PendingPrompt prompt = pendingPrompts.get(run.attempt());
         prompt.callback = callback;
-        go(run.attempt(), prompt, turn);
+        callIfReady(run.attempt(), prompt, context);
     }
 
     @Override
-    public void dropped(AttemptId attempt, Turn turn) {
-        Waiting prompt = waiting.remove(attempt);
+    public void onDropped(AttemptId attempt, EventContext context) {
+        PendingPrompt prompt = pendingPrompts.remove(attempt);
         if (prompt != null) {
             mover.cancel(prompt.target, attempt);
         }
     }
 
     @Override
-    public void ended(PromptRun run, Usage usage, Turn turn) {
-        // An answer that named another version than this one was broken off: see Answers.isOfAnotherVersion.
+    public void onEnded(PromptRun run, Usage usage, EventContext context) {
+        // An answer of another version would have been aborted: see TargetAnswerHandler.hasOtherVersion.
         String version = run.dispatch().weightVersion();
-        HeldTarget engine = engines.get(run.target().name());
+        AssignedTarget engine = engines.get(run.target().name());
         long speed = engine == null ? 0 : engine.prefillSpeed().tokensPerSecond();
-        mover.onCompleted(prompt(run, turn), version, speed, turn.nowMicros(), turn.effects());
+        mover.onCompleted(prompt(run, context), version, speed, context.nowMicros(), context.effects());
     }
 
     @Override
-    public void handle(CompanionEvent event, Turn turn) {
-        take(mover.handle(event, turn.nowMicros(), turn.effects()), turn);
+    public void handle(CompanionEvent event, EventContext context) {
+        onContextReady(mover.handle(event, context.nowMicros(), context.effects()), context);
     }
 
     @Override
@@ -78,33 +78,33 @@
         return mover.fetchBytesPerSecond(target);
     }
 
-    private void begin(PromptRun run, Turn turn) {
-        if (waiting.containsKey(run.attempt())) {
+    private void prepare(PromptRun run, EventContext context) {
+        if (pendingPrompts.containsKey(run.attempt())) {
             return;
         }
-        waiting.put(run.attempt(), new Waiting(run.target().name()));
-        take(mover.prepare(prompt(run, turn), turn.nowMicros(), turn.effects()), turn);
+        pendingPrompts.put(run.attempt(), new PendingPrompt(run.target().name()));
+        onContextReady(mover.prepare(prompt(run, context), context.nowMicros(), context.effects()), context);
     }
 
-    private void take(List<ContextReady> all, Turn turn) {
-        for (ContextReady ready : all) {
-            Waiting prompt = waiting.get(ready.attempt());
+    private void onContextReady(List<ContextReady> readyContexts, EventContext context) {
+        for (ContextReady ready : readyContexts) {
+            PendingPrompt prompt = pendingPrompts.get(ready.attempt());
             if (prompt != null) {
                 prompt.ready = ready;
-                go(ready.attempt(), prompt, turn);
+                callIfReady(ready.attempt(), prompt, context);
             }
         }
     }
 
-    private void go(AttemptId attempt, Waiting prompt, Turn turn) {
+    private void callIfReady(AttemptId attempt, PendingPrompt prompt, EventContext context) {
         if (prompt.callback == null || prompt.ready == null) {
             return;
         }
-        waiting.remove(attempt);
-        prompt.callback.fetched(new Fetched(prompt.ready.fetchedTokens(), prompt.ready.fetchedBytes()), turn);
+        pendingPrompts.remove(attempt);
+        prompt.callback.onFetched(new Fetched(prompt.ready.fetchedTokens(), prompt.ready.fetchedBytes()), context);
     }
 
-    private static ContextPrompt prompt(PromptRun run, Turn turn) {
+    private static ContextPrompt prompt(PromptRun run, EventContext context) {
         Frame.Dispatch dispatch = run.dispatch();
         return new ContextPrompt(
                 dispatch.attempt(),
@@ -113,16 +113,16 @@
                 dispatch.service(),
                 dispatch.weightVersion(),
                 dispatch.prompt(),
-                turn.nowMicros() + dispatch.deadlineMicros());
+                context.nowMicros() + dispatch.deadlineMicros());
     }
 
-    /** A prompt before its call: it goes once its place is free and its context is ready. */
-    private static final class Waiting {
+    /** A prompt before its call. It is called once it holds a slot and its context is ready. */
+    private static final class PendingPrompt {
         private final TargetName target;
         private Callback callback;
         private ContextReady ready;
 
-        Waiting(TargetName target) {
+        PendingPrompt(TargetName target) {
             this.target = target;
         }
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Tombstones.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/Tombstones.java
@@ -9,70 +9,71 @@
 import org.rattanrudder.core.model.RunState;
 
 /**
- * The attempts that have ended, so that a late or doubled copy of one can't run.
+ * Records the attempts that have ended, so that a late or duplicate dispatch of one doesn't run.
  *
- * <p>Without them a caller would be told "not run", and a copy of the same dispatch that was held up on the way would
- * run afterwards; or an attempt that was answered would run twice. Their number is bounded: the oldest is dropped, and
- * what it said is kept as one floor for its entry. Sequences count up at each entry, so that whatever lies at or below
- * a floor and isn't remembered is refused: as not run above the floor of those that ran, as unknown at or below it.
+ * <p>Without tombstones a caller could receive "not run" and a delayed duplicate of the dispatch run afterwards, or an
+ * answered attempt could run twice. Their number is limited: the oldest is evicted and merged into a floor for its
+ * entry. Since each entry numbers its attempts in ascending order, every attempt at or below the floor that has no
+ * tombstone is refused: as not run if it is above the floor of attempts that may have run, otherwise as unknown.
  */
 final class Tombstones {
-    /** How many ended attempts are remembered one by one. */
-    static final int REMEMBERED = 32_768;
+    /** Maximum number of ended attempts with a tombstone. */
+    static final int MAX_ATTEMPTS = 32_768;
 
-    /** How many entry incarnations have their floors remembered. */
-    static final int REMEMBERED_ENTRIES = 4_096;
+    /** Maximum number of entry incarnations with a floor. */
+    static final int MAX_ENTRIES = 4_096;
 
-    private final int remembered;
+    private final int maxAttempts;
     private final Map<AttemptId, ErrorKind> ended = new LinkedHashMap<>();
     private final Map<Long, Floor> floors = new LinkedHashMap<>();
 
     Tombstones() {
-        this(REMEMBERED);
+        this(MAX_ATTEMPTS);
     }
 
-    Tombstones(int remembered) {
-        this.remembered = remembered;
+    Tombstones(int maxAttempts) {
+        this.maxAttempts = maxAttempts;
     }
 
     /**
-     * Remembers how an attempt ended. A kind whose run state is {@link RunState#NOT_RUN} promises that it never ran.
+     * Records how an attempt ended. A kind whose run state is {@link RunState#NOT_RUN} guarantees that it never ran.
      */
     void add(AttemptId attempt, ErrorKind kind) {
         ended.putIfAbsent(attempt, kind);
-        if (ended.size() <= remembered) {
+        if (ended.size() <= maxAttempts) {
             return;
         }
         Iterator<Map.Entry<AttemptId, ErrorKind>> oldest = ended.entrySet().iterator();
-        Map.Entry<AttemptId, ErrorKind> dropped = oldest.next();
+        Map.Entry<AttemptId, ErrorKind> evicted = oldest.next();
         oldest.remove();
-        lowerTo(dropped.getKey(), dropped.getValue());
+        raiseFloor(evicted.getKey(), evicted.getValue());
     }
 
-    /** Returns how an attempt ended that must not run any more; empty if it may. */
+    /** Returns how an attempt ended that must not run any more; empty if it may run. */
     Optional<ErrorKind> find(AttemptId attempt) {
         ErrorKind kind = ended.get(attempt);
         if (kind != null) {
             return Optional.of(kind);
         }
         Floor floor = floors.get(attempt.entryIncarnation());
-        if (floor == null || attempt.sequence() > floor.any) {
+        if (floor == null || attempt.sequence() > floor.maxEndedSequence) {
             return Optional.empty();
         }
-        return Optional.of(attempt.sequence() > floor.ran ? ErrorKind.STALE_INCARNATION : ErrorKind.OUTCOME_UNKNOWN);
+        return Optional.of(
+                attempt.sequence() > floor.maxRunSequence ? ErrorKind.STALE_INCARNATION : ErrorKind.OUTCOME_UNKNOWN);
     }
 
     int size() {
         return ended.size();
     }
 
-    private void lowerTo(AttemptId attempt, ErrorKind kind) {
+    private void raiseFloor(AttemptId attempt, ErrorKind kind) {
         Floor floor = floors.computeIfAbsent(attempt.entryIncarnation(), incarnation -> new Floor());
-        floor.any = Math.max(floor.any, attempt.sequence());
+        floor.maxEndedSequence = Math.max(floor.maxEndedSequence, attempt.sequence());
         if (kind.runState() != RunState.NOT_RUN) {
-            floor.ran = Math.max(floor.ran, attempt.sequence());
+            floor.maxRunSequence = Math.max(floor.maxRunSequence, attempt.sequence());
         }
-        if (floors.size() > REMEMBERED_ENTRIES) {
+        if (floors.size() > MAX_ENTRIES) {
             Iterator<Long> oldest = floors.keySet().iterator();
             oldest.next();
             oldest.remove();
@@ -80,7 +81,7 @@
     }
 
     private static final class Floor {
-        private long any;
-        private long ran;
+        private long maxEndedSequence;
+        private long maxRunSequence;
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The decisions of a companion: what its targets run, in which order, with which context, and by whose order.
+ * Decision logic of a companion: which attempts its targets run, in which order and with which context, and the orders
+ * that it sends to them.
  *
- * <p>Front class: {@link org.rattanrudder.core.companion.CompanionMachine}.
+ * <p>Entry point: {@link org.rattanrudder.core.companion.CompanionMachine}.
  */
 package org.rattanrudder.core.companion;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionDriver.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionDriver.java
@@ -34,7 +34,7 @@
 import org.rattanrudder.core.model.ServiceName;
 import org.rattanrudder.core.model.TargetName;
 
-/** Drives one companion's machine with a clock of its own, and keeps every effect. */
+/** Drives the state machine of one companion with a simulated clock, and collects its effects. */
 public final class CompanionDriver {
     static final long INCARNATION = 7;
     static final long ENTRY = 100;
@@ -49,11 +49,11 @@
             new CompanionSettings(new InstanceName("slot-1"), INCARNATION, COMPANION, "depo-juh", "0.1");
 
     public final List<CompanionEffect> effects = new ArrayList<>();
-    private final Map<String, ServiceDocument> texts = new HashMap<>();
+    private final Map<String, ServiceDocument> documentsByText = new HashMap<>();
     private final Map<ServiceName, Long> revisions = new HashMap<>();
     private final CompanionMachine machine;
     private final Set<AttemptId> openCalls = new LinkedHashSet<>();
-    private final Set<AttemptId> answered = new HashSet<>();
+    private final Set<AttemptId> startedAnswers = new HashSet<>();
     private long nowMicros = 1_000_000;
     private long offset;
 
@@ -61,11 +61,11 @@
         machine = new CompanionMachine(SETTINGS, this::read, new Random(5));
     }
 
-    CompanionDriver(KeyGate gate, ContextMover mover) {
+    CompanionDriver(IdempotencyGate gate, ContextMover mover) {
         machine = new CompanionMachine(SETTINGS, this::read, new Random(5), gate, mover);
     }
 
-    /** Returns a companion that holds an engine at version v1 and a plain service, with a link from an entry. */
+    /** Returns a companion with an engine at version v1, a plain service and a link from an entry. */
     static CompanionDriver ready() {
         return new CompanionDriver().prepare();
     }
@@ -80,7 +80,7 @@
     }
 
     private DocumentReader.Reading read(String text) {
-        return new DocumentReader.Valid(texts.get(text));
+        return new DocumentReader.Valid(documentsByText.get(text));
     }
 
     public static ServiceDocument document(ServiceName service, int concurrency, int queueLength, boolean draining) {
@@ -112,7 +112,7 @@
     public void publish(ServiceDocument document) {
         offset++;
         String text = "document " + offset;
-        texts.put(text, document);
+        documentsByText.put(text, document);
         LogEntry edit =
                 new LogEntry.DocumentEdit(document.service(), revisions.getOrDefault(document.service(), 0L), text);
         revisions.put(document.service(), offset);
@@ -139,7 +139,7 @@
         } else if (event instanceof CompanionEvent.TargetFailed failed) {
             openCalls.remove(failed.attempt());
         } else if (event instanceof CompanionEvent.TargetAnswerStarted begun) {
-            answered.add(begun.attempt());
+            startedAnswers.add(begun.attempt());
         }
         machine.handle(event, nowMicros, this::take);
     }
@@ -157,22 +157,22 @@
         }
     }
 
-    /** Returns the calls of which an adapter could still say something. */
+    /** Returns the calls for which an adapter could still report events. */
     List<AttemptId> openCalls() {
         return List.copyOf(openCalls);
     }
 
-    boolean hasAnswered(AttemptId attempt) {
-        return answered.contains(attempt);
+    boolean hasStartedAnswer(AttemptId attempt) {
+        return startedAnswers.contains(attempt);
     }
 
-    /** Lets time pass in which the process stands still. */
+    /** Advances the clock without ticks, as if the process were frozen. */
     void freeze(long millis) {
         nowMicros += millis * 1_000;
     }
 
-    /** Lets time pass in ticks; the entry's heartbeats keep the given links alive. */
-    void pass(long millis, long... liveLinks) {
+    /** Advances the clock in ticks; heartbeats of the entry keep the given links alive. */
+    void advance(long millis, long... liveLinks) {
         long end = nowMicros + millis * 1_000;
         while (nowMicros < end) {
             nowMicros = Math.min(end, nowMicros + 50_000);
@@ -247,13 +247,13 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    <T extends CompanionEffect> List<T> all(Class<T> type) {
+    <T extends CompanionEffect> List<T> effectsOf(Class<T> type) {
         return effects.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    /** Returns the frames of one kind that went out on a link. */
+    /** Returns the frames of one kind that were sent on a link. */
     <T extends Frame> List<T> sent(long link, Class<T> type) {
-        return all(CompanionEffect.SendFrame.class).stream()
+        return effectsOf(CompanionEffect.SendFrame.class).stream()
                 .filter(effect -> effect.link() == link)
                 .map(CompanionEffect.SendFrame::frame)
                 .filter(type::isInstance)
@@ -261,7 +261,7 @@
                 .toList();
     }
 
-    /** Returns the attempts that were called, in order, each as often as it was. */
+    /** Returns the attempts that were called, in order, including repeated calls. */
     List<AttemptId> called() {
         List<AttemptId> called = new ArrayList<>();
         for (CompanionEffect effect : effects) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionMachineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionMachineTest.java
@@ -18,12 +18,12 @@
     private final CompanionDriver companion = CompanionDriver.ready();
 
     @Test
-    void runsAPromptUnderTheSaltOfItsCustomerAndRelaysTheAnswerInNumberedChunks() {
+    void runsAPromptWithItsCustomersSaltAndRelaysNumberedChunks() {
         companion.frame(1, prompt(1));
         companion.answer(1, "yes", "!");
         companion.end(1);
 
-        assertThat(companion.all(CompanionEffect.StartPrompt.class))
+        assertThat(companion.effectsOf(CompanionEffect.StartPrompt.class))
                 .extracting(CompanionEffect.StartPrompt::cacheSalt)
                 .containsExactly(Digest.of("depo-sever", "palivo-llm", "v1"));
         assertThat(companion.sent(1, Frame.Accepted.class)).hasSize(1);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void runsNoMoreThanTheTargetsConcurrencyAndQueuesTheRest() {
+    void limitsConcurrencyAndQueuesTheRest() {
         for (int sequence = 1; sequence <= 4; sequence++) {
             companion.frame(1, prompt(sequence));
         }
@@ -48,30 +48,31 @@
     }
 
     @Test
-    void watchesExactlyTheTargetsThatDocumentsGiveToItsAddress() {
+    void watchesExactlyTheTargetsAssignedToItsAddress() {
         CompanionDriver fresh = new CompanionDriver();
         fresh.publish(document(CompanionDriver.PROMPTS, 2, 8, false));
 
-        assertThat(fresh.all(CompanionEffect.WatchTarget.class))
+        assertThat(fresh.effectsOf(CompanionEffect.WatchTarget.class))
                 .extracting(CompanionEffect.WatchTarget::name)
                 .containsExactly(ENGINE);
     }
 
     @Test
-    void tellsEntriesEachSecondHowItsTargetsAre() {
-        companion.pass(3_000, 1);
+    void sendsTargetStatesToEntriesEverySecond() {
+        companion.advance(3_000, 1);
 
         assertThat(companion.sent(1, Frame.Heartbeat.class))
                 .hasSizeBetween(3, 4)
-                .allSatisfy(beat -> assertThat(beat.targets()).hasSize(2).allMatch(Frame.TargetState::accepting));
+                .allSatisfy(
+                        heartbeat -> assertThat(heartbeat.targets()).hasSize(2).allMatch(Frame.TargetState::accepting));
     }
 
     /**
-     * After a drain a clerk's check must not be cut off, nor wait in a queue that nobody serves any more: what runs
-     * finishes, what waits goes back at once as not run, and only then the process may end.
+     * A drain must neither abort running prompts nor leave queued ones waiting for a process that is about to exit.
+     * Running attempts finish, queued ones are returned as not run, and only then the process may exit.
      */
     @Test
-    void drainHandsBackWhatWaitsAndLetsFinishWhatRuns() {
+    void drainReturnsQueuedAttemptsAndLetsRunningOnesFinish() {
         for (int sequence = 1; sequence <= 3; sequence++) {
             companion.frame(1, prompt(sequence));
         }
@@ -82,22 +83,22 @@
         assertThat(companion.sent(1, Frame.NotRun.class))
                 .extracting(notRun -> notRun.refusal().kind())
                 .containsExactly(ErrorKind.DRAINING, ErrorKind.DRAINING);
-        assertThat(companion.all(CompanionEffect.Drained.class)).isEmpty();
+        assertThat(companion.effectsOf(CompanionEffect.Drained.class)).isEmpty();
 
         for (int sequence = 1; sequence <= 2; sequence++) {
             companion.answer(sequence, "yes");
             companion.end(sequence);
         }
-        assertThat(companion.all(CompanionEffect.Drained.class)).hasSize(1);
+        assertThat(companion.effectsOf(CompanionEffect.Drained.class)).hasSize(1);
         assertThat(companion.called()).containsExactly(id(1), id(2));
     }
 
     /**
-     * A dispatch that was sent to the process before a restart arrives at its successor, which can't know whether a
-     * copy of it ran before: it must not run.
+     * A dispatch that was sent before a restart arrives at the restarted process, which can't know whether a duplicate
+     * of it has run: it must not run.
      */
     @Test
-    void refusesWhatIsAddressedToAnotherIncarnation() {
+    void refusesADispatchToAnotherIncarnation() {
         Frame.Dispatch own = append(1);
         companion.frame(
                 1,
@@ -123,7 +124,7 @@
     }
 
     @Test
-    void aDrainingTargetGetsNoNewWork() {
+    void drainingTargetGetsNoNewAttempts() {
         companion.publish(document(LEDGER, 2, 8, true));
         companion.frame(1, append(1));
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionPropertiesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionPropertiesTest.java
@@ -18,47 +18,47 @@
     private static final int REQUESTS = 25;
 
     /**
-     * A driver is charged twice for one tanking, or a clerk who was told "not run" finds the entry in the ledger:
-     * frames are doubled, held up, reordered and sent over old links, links break, entries stay away, targets fail and
-     * swap weights, and the companion drains, in any order.
+     * Frames are duplicated, delayed, reordered and sent over old links, links break, entries disconnect, targets fail
+     * and swap weights, and the companion drains, in any order. No attempt may run twice, or run after its caller was
+     * told that it didn't.
      */
     @Property(seed = "41", tries = 400)
-    void noAttemptRunsTwiceNorAfterItWasSaidNotToHaveRun(@ForAll long randomSeed) {
+    void noAttemptRunsTwiceOrAfterItWasReportedNotRun(@ForAll long randomSeed) {
         CompanionDriver companion = CompanionDriver.ready();
         RandomEvents events = new RandomEvents(new Random(randomSeed));
         Set<AttemptId> called = new HashSet<>();
-        Set<AttemptId> saidNotRun = new HashSet<>();
+        Set<AttemptId> reportedNotRun = new HashSet<>();
         for (int step = 0; step < STEPS; step++) {
             companion.effects.clear();
             events.next(companion);
             for (CompanionEffect effect : companion.effects) {
-                check(effect, events.neverSent, called, saidNotRun);
+                check(effect, events.neverSent, called, reportedNotRun);
             }
         }
     }
 
     @Property(seed = "42", tries = 50)
-    void theSameEventsHaveTheSameEffects(@ForAll long randomSeed) {
+    void sameEventsHaveSameEffects(@ForAll long randomSeed) {
         assertThat(run(randomSeed)).isEqualTo(run(randomSeed));
     }
 
     private static void check(
-            CompanionEffect effect, Set<AttemptId> neverSent, Set<AttemptId> called, Set<AttemptId> saidNotRun) {
+            CompanionEffect effect, Set<AttemptId> neverSent, Set<AttemptId> called, Set<AttemptId> reportedNotRun) {
         if (effect instanceof CompanionEffect.StartCall start) {
             assertThat(called.add(start.attempt())).as("%s runs once", start).isTrue();
-            assertThat(saidNotRun).as("said not to have run").doesNotContain(start.attempt());
+            assertThat(reportedNotRun).as("reported as not run").doesNotContain(start.attempt());
         } else if (effect instanceof CompanionEffect.StartPrompt start) {
             assertThat(called.add(start.attempt())).as("%s runs once", start).isTrue();
-            assertThat(saidNotRun).as("said not to have run").doesNotContain(start.attempt());
+            assertThat(reportedNotRun).as("reported as not run").doesNotContain(start.attempt());
         } else if (effect instanceof CompanionEffect.SendFrame send && send.frame() instanceof Frame.NotRun notRun) {
-            saidNotRun.add(notRun.attempt());
+            reportedNotRun.add(notRun.attempt());
             assertThat(called.contains(notRun.attempt()) && !neverSent.contains(notRun.attempt()))
                     .as("%s was called", notRun)
                     .isFalse();
         } else if (effect instanceof CompanionEffect.SendFrame send
                 && send.frame() instanceof Frame.AnswerFailed failed) {
             assertThat(failed.refusal().kind().runState())
-                    .as("an attempt that may have run is never called not run")
+                    .as("an attempt that may have run is not reported as not run")
                     .isEqualTo(RunState.UNKNOWN);
         }
     }
@@ -74,11 +74,11 @@
                 .toList();
     }
 
-    /** Draws events that entries, links and targets could bring, in an order that they needn't come in. */
+    /** Draws random events of entries, links and targets, in any order. */
     private static final class RandomEvents {
         private final Random random;
         private final Set<AttemptId> neverSent = new HashSet<>();
-        private final List<Integer> live = new ArrayList<>(List.of(1));
+        private final List<Integer> liveLinks = new ArrayList<>(List.of(1));
         private int links = 1;
 
         RandomEvents(Random random) {
@@ -90,15 +90,15 @@
             if (action < 60) {
                 companion.frame(1 + random.nextInt(links), frame());
             } else if (action < 80) {
-                targetSays(companion);
+                targetEvent(companion);
             } else if (action < 90) {
-                companion.pass(random.nextInt(10) == 0 ? 6_000 : random.nextInt(300), liveLinks());
+                companion.advance(random.nextInt(10) == 0 ? 6_000 : random.nextInt(300), liveLinks());
             } else if (action < 94) {
-                live.clear();
-                live.add(++links);
+                liveLinks.clear();
+                liveLinks.add(++links);
                 companion.openLink(links);
             } else if (action < 96) {
-                live.clear();
+                liveLinks.clear();
                 companion.handle(new CompanionEvent.LinkClosed(links));
             } else if (action < 99) {
                 companion.reportVersion(random.nextInt(4) == 0 ? "v2" : "v1");
@@ -122,7 +122,7 @@
                     : new Frame.Credit(id, 1);
         }
 
-        private void targetSays(CompanionDriver companion) {
+        private void targetEvent(CompanionDriver companion) {
             List<AttemptId> open = companion.openCalls();
             if (open.isEmpty()) {
                 return;
@@ -134,7 +134,7 @@
             } else if (kind < 4) {
                 companion.end(id.sequence());
             } else {
-                boolean nothingSent = kind == 4 && !companion.hasAnswered(id);
+                boolean nothingSent = kind == 4 && !companion.hasStartedAnswer(id);
                 if (nothingSent) {
                     neverSent.add(id);
                 }
@@ -143,7 +143,7 @@
         }
 
         private long[] liveLinks() {
-            return live.stream().mapToLong(Integer::longValue).toArray();
+            return liveLinks.stream().mapToLong(Integer::longValue).toArray();
         }
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionStagesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionStagesTest.java
@@ -15,51 +15,51 @@
 import org.rattanrudder.core.model.Refusal;
 
 class CompanionStagesTest {
-    private static final KeyGate OPEN = (dispatch, turn, callback) -> callback.decided(new KeyGate.Granted(), turn);
+    private static final IdempotencyGate GRANTING_GATE =
+            (dispatch, context, callback) -> callback.onDecision(new IdempotencyGate.Granted(), context);
 
-    private final List<KeyGate.Callback> claims = new ArrayList<>();
-    private final List<String> endings = new ArrayList<>();
-    private final CompanionDriver companion = new CompanionDriver(new HeldGate(), ContextMover.NONE).prepare();
+    private final List<IdempotencyGate.Callback> claims = new ArrayList<>();
+    private final List<String> outcomes = new ArrayList<>();
+    private final CompanionDriver companion = new CompanionDriver(new ManualGate(), ContextMover.NONE).prepare();
 
     @Test
-    void aCallRunsOnlyAfterItsKeyIsGranted() {
+    void callRunsOnlyAfterItsKeyIsGranted() {
         companion.frame(1, append(1));
         assertThat(companion.called()).isEmpty();
 
-        decide(0, new KeyGate.Granted());
+        decide(0, new IdempotencyGate.Granted());
         companion.answer(1);
         companion.end(1);
         assertThat(companion.called()).containsExactly(id(1));
-        assertThat(endings).containsExactly(id(1) + " ANSWERED");
+        assertThat(outcomes).containsExactly(id(1) + " ANSWERED");
     }
 
     @Test
-    void aRefusedKeyIsNotRunAndAKeyOfUnknownOutcomeIsUnknown() {
+    void refusedKeyIsNotRunAndKeyOfUnknownOutcomeIsUnknown() {
         companion.frame(1, append(1));
         companion.frame(1, append(2));
-        decide(0, new KeyGate.Refused(new Refusal(ErrorKind.LOG_UNAVAILABLE, 0, "")));
-        decide(1, new KeyGate.Unknown(new Refusal(ErrorKind.OUTCOME_UNKNOWN, 0, "")));
+        decide(0, new IdempotencyGate.Refused(new Refusal(ErrorKind.LOG_UNAVAILABLE, 0, "")));
+        decide(1, new IdempotencyGate.OutcomeUnknown(new Refusal(ErrorKind.OUTCOME_UNKNOWN, 0, "")));
 
         assertThat(companion.sent(1, Frame.NotRun.class)).hasSize(1);
         assertThat(companion.sent(1, Frame.AnswerFailed.class)).hasSize(1);
-        assertThat(endings).containsExactly(id(1) + " NOT_RUN", id(2) + " UNKNOWN");
+        assertThat(outcomes).containsExactly(id(1) + " NOT_RUN", id(2) + " UNKNOWN");
         assertThat(companion.called()).isEmpty();
     }
 
     /**
-     * The log is down, and a pump terminal that posts a refuelling is told to come back within a second, though its
-     * claim can't be made for several: it is refused again and again. The companion answered with the wait in the
-     * target's queue, which is empty, and dropped the time that the key's gate had given; of a key whose call is
-     * running it told no time at all.
+     * While the log is down, a caller must get the retry time of the gate. With the wait of the target's queue, which
+     * is empty, it would retry within a second and be refused again and again. The same holds for a key whose call is
+     * still running, which must not lose its retry time either.
      */
     @Test
-    void aKeyThatIsRefusedTellsTheTimeToComeBackThatItsGateGave() {
+    void refusedKeyKeepsTheRetryAfterOfItsGate() {
         Refusal logDown = new Refusal(ErrorKind.LOG_UNAVAILABLE, 7_000, "the log doesn't answer");
         Refusal running = new Refusal(ErrorKind.KEY_IN_PROGRESS, 1_500, "the call is running");
         companion.frame(1, append(1));
         companion.frame(1, append(2));
-        decide(0, new KeyGate.Refused(logDown));
-        decide(1, new KeyGate.Unknown(running));
+        decide(0, new IdempotencyGate.Refused(logDown));
+        decide(1, new IdempotencyGate.OutcomeUnknown(running));
 
         assertThat(companion.sent(1, Frame.NotRun.class))
                 .extracting(Frame.NotRun::refusal)
@@ -70,40 +70,40 @@
     }
 
     /**
-     * A clerk is told "not run" because the log was slow, enters the tanking on paper, and then the claim comes through
-     * and the entry is made as well.
+     * The log is slow and the caller gets "not run". If the call ran once its claim is granted, it would take effect
+     * after the caller has handled the request in another way.
      */
     @Test
-    void aVerdictThatComesAfterTheDeadlineRunsNothing() {
+    void decisionAfterTheDeadlineRunsNothing() {
         companion.frame(1, append(1));
-        companion.pass(10_000, 1);
+        companion.advance(10_000, 1);
         assertThat(companion.sent(1, Frame.NotRun.class))
                 .extracting(notRun -> notRun.refusal().kind())
                 .containsExactly(ErrorKind.DEADLINE_UNREACHABLE);
 
-        decide(0, new KeyGate.Granted());
+        decide(0, new IdempotencyGate.Granted());
         assertThat(companion.called()).isEmpty();
-        assertThat(endings).containsExactly(id(1) + " NOT_RUN");
+        assertThat(outcomes).containsExactly(id(1) + " NOT_RUN");
     }
 
-    /** An entry reaches a ledger that has been told to take no more, since its claim took longer than the drain. */
+    /** A claim is granted after its target started to drain; the call must not reach the target any more. */
     @Test
-    void aVerdictThatComesAfterTheDrainOfItsTargetRunsNothing() {
+    void decisionAfterTheDrainOfItsTargetRunsNothing() {
         companion.frame(1, append(1));
         companion.publish(CompanionDriver.document(CompanionDriver.LEDGER, 2, 8, true));
-        decide(0, new KeyGate.Granted());
+        decide(0, new IdempotencyGate.Granted());
 
         assertThat(companion.called()).isEmpty();
-        assertThat(endings).containsExactly(id(1) + " NOT_RUN");
+        assertThat(outcomes).containsExactly(id(1) + " NOT_RUN");
     }
 
     @Test
-    void aSwapDuringTheFetchHandsThePromptBack() {
-        SilentMover mover = new SilentMover(new ArrayList<>());
-        CompanionDriver waiting = new CompanionDriver(OPEN, mover).prepare();
+    void weightSwapDuringAFetchReturnsThePrompt() {
+        UnresponsiveMover mover = new UnresponsiveMover(new ArrayList<>());
+        CompanionDriver waiting = new CompanionDriver(GRANTING_GATE, mover).prepare();
         waiting.frame(1, prompt(1));
         waiting.reportVersion("v2");
-        waiting.pass(2_000, 1);
+        waiting.advance(2_000, 1);
 
         assertThat(waiting.called()).isEmpty();
         assertThat(waiting.sent(1, Frame.NotRun.class))
@@ -112,11 +112,11 @@
     }
 
     /**
-     * A ledger dies with two entries in it. Two more wait; as the first two are given up, each free place would send
-     * another one into the dead ledger, and its clerk would hear "unknown" instead of "not run".
+     * A target dies with two running and two queued attempts. When the running ones time out, the queued ones must not
+     * take the freed slots of the dead target: their callers would get "unknown" instead of "not run".
      */
     @Test
-    void whatWaitsBeforeATargetThatIsGoneIsHandedBackAsNotRun() {
+    void queuedAttemptsOfAnUnreachableTargetAreReturnedAsNotRun() {
         CompanionDriver open = CompanionDriver.ready();
         open.handle(new CompanionEvent.LoadReported(PLAIN, new CompanionEvent.TargetLoad(0, 0, "", 0)));
         for (int sequence = 1; sequence <= 4; sequence++) {
@@ -124,7 +124,7 @@
         }
         for (int second = 0; second <= 3; second++) {
             open.handle(new CompanionEvent.LoadReportMissed(PLAIN));
-            open.pass(1_000, 1);
+            open.advance(1_000, 1);
         }
         assertThat(open.called()).containsExactly(id(1), id(2));
         assertThat(open.sent(1, Frame.AnswerFailed.class)).hasSize(2);
@@ -134,46 +134,46 @@
     }
 
     /**
-     * An engine has free places and prompts wait for good: the store went silent in the middle of a fetch, and the
-     * prompt that waits for it keeps its place.
+     * The store becomes unresponsive during a fetch. Without a timeout, the prompt would occupy its slot forever and
+     * block others although the engine is idle.
      */
     @Test
-    void aPromptWhoseContextDoesNotComeIsCalledWithoutIt() {
+    void callsAPromptWithoutContextWhenTheFetchTimesOut() {
         List<AttemptId> dropped = new ArrayList<>();
-        CompanionDriver waiting = new CompanionDriver(OPEN, new SilentMover(dropped)).prepare();
+        CompanionDriver waiting = new CompanionDriver(GRANTING_GATE, new UnresponsiveMover(dropped)).prepare();
         waiting.frame(1, prompt(1));
-        waiting.pass(1_950, 1);
+        waiting.advance(1_950, 1);
         assertThat(waiting.called()).isEmpty();
-        waiting.pass(50, 1);
+        waiting.advance(50, 1);
 
         assertThat(waiting.called()).containsExactly(id(1));
         assertThat(dropped).containsExactly(id(1));
     }
 
-    private void decide(int claim, KeyGate.Verdict verdict) {
-        claims.get(claim).decided(verdict, new Turn(20_000_000, companion.effects::add));
+    private void decide(int claim, IdempotencyGate.Decision decision) {
+        claims.get(claim).onDecision(decision, new EventContext(20_000_000, companion.effects::add));
     }
 
-    /** A gate whose verdicts the test gives. */
-    private final class HeldGate implements KeyGate {
+    /** A gate whose decisions are made by the test. */
+    private final class ManualGate implements IdempotencyGate {
         @Override
-        public void claim(Frame.Dispatch dispatch, Turn turn, Callback callback) {
+        public void claim(Frame.Dispatch dispatch, EventContext context, Callback callback) {
             claims.add(callback);
         }
 
         @Override
-        public void ended(AttemptId attempt, Ending ending, Turn turn) {
-            endings.add(attempt + " " + ending);
+        public void onEnded(AttemptId attempt, Outcome outcome, EventContext context) {
+            outcomes.add(attempt + " " + outcome);
         }
     }
 
     /** A mover whose store never answers. */
-    private record SilentMover(List<AttemptId> dropped) implements ContextMover {
+    private record UnresponsiveMover(List<AttemptId> dropped) implements ContextMover {
         @Override
-        public void fetch(PromptRun run, Turn turn, Callback callback) {}
+        public void fetch(PromptRun run, EventContext context, Callback callback) {}
 
         @Override
-        public void dropped(AttemptId attempt, Turn turn) {
+        public void onDropped(AttemptId attempt, EventContext context) {
             dropped.add(attempt);
         }
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionStreamsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/CompanionStreamsTest.java
@@ -18,11 +18,11 @@
     private final CompanionDriver companion = CompanionDriver.ready();
 
     /**
-     * A clerk's answer stops in the middle: the entry's connection went silent for good while new ones work. The entry
-     * opens another and names the first chunk that it lacks; nothing may be missing or come twice.
+     * The entry's link becomes unresponsive in the middle of an answer, while new links work. The entry opens another
+     * and names the first chunk that it lacks; no chunk may be missing or arrive twice.
      */
     @Test
-    void aStreamGoesOnOverANewLinkAtTheNextChunk() {
+    void streamResumesOnANewLinkAtTheNextChunk() {
         companion.frame(1, prompt(1));
         companion.answer(1, "a", "b", "c");
         companion.openLink(2);
@@ -31,7 +31,8 @@
         companion.chunk(1, "e", "v1");
         companion.end(1);
 
-        assertThat(companion.all(CompanionEffect.CloseLink.class)).containsExactly(new CompanionEffect.CloseLink(1));
+        assertThat(companion.effectsOf(CompanionEffect.CloseLink.class))
+                .containsExactly(new CompanionEffect.CloseLink(1));
         assertThat(companion.sent(2, Frame.AnswerHead.class)).hasSize(1);
         assertThat(numbers(2)).containsExactly(1L, 2L, 3L, 4L);
         assertThat(companion.sent(2, Frame.AnswerEnd.class))
@@ -40,12 +41,12 @@
     }
 
     @Test
-    void theEndOfAnAnswerThatWasLostWithItsLinkIsSentAgain() {
+    void resendsAnAnswerEndThatWasLostWithItsLink() {
         companion.frame(1, prompt(1));
         companion.answer(1, "a");
         companion.end(1);
         companion.handle(new CompanionEvent.LinkClosed(1));
-        companion.pass(4_000);
+        companion.advance(4_000);
         companion.openLink(2);
         companion.frame(2, new Frame.Resume(id(1), INCARNATION, 1));
 
@@ -54,11 +55,11 @@
     }
 
     /**
-     * After some changes of links an answer stops for good: each link took credits with it that never arrived, until
-     * the window was used up though the caller waits.
+     * Each lost link loses credits that were in flight on it. After a few changes of links, the lost credits would add
+     * up to the whole window, and the answer would stall although its caller is waiting.
      */
     @Test
-    void creditsLostWithALinkDoNotStopTheStream() {
+    void creditsLostWithALinkDoNotStallTheStream() {
         companion.frame(1, prompt(1));
         int chunk = 0;
         for (long link = 2; link <= 4; link++) {
@@ -68,13 +69,13 @@
             companion.openLink(link);
             companion.effects.clear();
             companion.frame(link, new Frame.Resume(id(1), INCARNATION, chunk));
-            assertThat(companion.all(CompanionEffect.ReadMore.class))
+            assertThat(companion.effectsOf(CompanionEffect.ReadMore.class))
                     .containsExactly(new CompanionEffect.ReadMore(id(1), CompanionEffect.INITIAL_WINDOW_CHUNKS));
         }
     }
 
     @Test
-    void whatTheEntryHasConfirmedIsNotKeptAndAResumeBeforeItSaysUnknown() {
+    void resumeBeforeTheConfirmedChunksEndsWithOutcomeUnknown() {
         companion.frame(1, prompt(1));
         companion.answer(1, "a", "b", "c");
         companion.frame(1, new Frame.Credit(id(1), 2));
@@ -86,15 +87,15 @@
     }
 
     /**
-     * The connection to the engine breaks in mid-stream. An engine that keeps the stream goes on with it; one that
-     * doesn't leaves the caller with a clear end at once, and never with a second answer joined to half of the first.
+     * The connection to the engine breaks in the middle of a stream. An engine that has retained the stream resumes it.
+     * If it hasn't, the answer fails at once, and no second answer is appended to half of the first.
      */
     @Test
-    void anEnginesStreamIsTakenUpAtTheNextChunkOnceAndThenFails() {
+    void resumesAnEngineStreamOnceAtTheNextChunkAndThenFails() {
         companion.frame(1, prompt(1));
         companion.answer(1, "a", "b");
         companion.handle(new CompanionEvent.TargetFailed(id(1), false, "reset"));
-        assertThat(companion.all(CompanionEffect.ResumePrompt.class))
+        assertThat(companion.effectsOf(CompanionEffect.ResumePrompt.class))
                 .extracting(CompanionEffect.ResumePrompt::fromChunk)
                 .containsExactly(2L);
 
@@ -104,11 +105,11 @@
     }
 
     /**
-     * A driver is charged twice: the connection to the ledger breaks after the entry may have been taken, and the call
-     * is tried again.
+     * The connection to a plain service breaks after the call may have taken effect. A retry could charge a customer
+     * twice.
      */
     @Test
-    void aPlainCallThatMayHaveArrivedIsUnknownAndNeverTriedAgain() {
+    void plainCallThatMayHaveArrivedIsUnknownAndNotRetried() {
         companion.frame(1, append(1));
         companion.handle(new CompanionEvent.TargetFailed(id(1), false, "reset"));
         companion.frame(1, append(1));
@@ -119,7 +120,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1})
-    void anAnswerOfAnotherWeightVersionThanAdmittedIsBrokenOff(int chunksBefore) {
+    void abortsAnAnswerOfAnotherWeightVersion(int chunksBefore) {
         companion.frame(1, prompt(1));
         companion.answer(1, chunksBefore == 0 ? new String[0] : new String[] {"half"});
         companion.chunk(1, "other half", "v2");
@@ -127,11 +128,11 @@
 
         assertThat(numbers(1)).hasSize(chunksBefore);
         assertThat(failures(1)).containsExactly(ErrorKind.TARGET_FAILED);
-        assertThat(companion.all(CompanionEffect.CancelCall.class)).hasSize(1);
+        assertThat(companion.effectsOf(CompanionEffect.CancelCall.class)).hasSize(1);
     }
 
     @Test
-    void aSwapHandsBackWhatWaitsAndLetsFinishWhatRunsOnItsOwnVersion() {
+    void weightSwapReturnsQueuedPromptsAndLetsRunningOnesFinish() {
         for (int sequence = 1; sequence <= 3; sequence++) {
             companion.frame(1, prompt(sequence));
         }
@@ -145,51 +146,52 @@
     }
 
     @Test
-    void aLinkThatBringsNothingForThreeSecondsIsClosedAndItsFramesAreDropped() {
-        companion.pass(2_900);
-        assertThat(companion.all(CompanionEffect.CloseLink.class)).isEmpty();
-        companion.pass(100);
+    void closesAnIdleLinkAfterThreeSecondsAndDropsItsFrames() {
+        companion.advance(2_900);
+        assertThat(companion.effectsOf(CompanionEffect.CloseLink.class)).isEmpty();
+        companion.advance(100);
         companion.frame(1, append(1));
 
-        assertThat(companion.all(CompanionEffect.CloseLink.class)).containsExactly(new CompanionEffect.CloseLink(1));
+        assertThat(companion.effectsOf(CompanionEffect.CloseLink.class))
+                .containsExactly(new CompanionEffect.CloseLink(1));
         assertThat(companion.called()).isEmpty();
     }
 
     /**
-     * An entry dies. Its prompts would hold places for answers that nobody reads; but a log entry that is being taken
-     * is left to finish, since stopping it half-way undoes nothing.
+     * After an entry has died, its prompts would occupy slots for answers that are never read. A running append is left
+     * to finish, since cancelling it would undo nothing.
      */
     @Test
-    void anEntryThatStaysAwayLosesItsPromptsButNotItsAppends() {
+    void cancelsPromptsOfADisconnectedEntryButNotItsAppends() {
         companion.frame(1, prompt(1));
         for (int sequence = 2; sequence <= 4; sequence++) {
             companion.frame(1, append(sequence));
         }
         companion.handle(new CompanionEvent.LinkClosed(1));
-        companion.pass(1_500);
+        companion.advance(1_500);
         companion.answer(1, "a");
         companion.answer(2);
         companion.answer(3);
-        companion.pass(1_900);
+        companion.advance(1_900);
         companion.answer(2, "b");
         companion.answer(3, "b");
-        companion.pass(1_600);
+        companion.advance(1_600);
 
-        assertThat(companion.all(CompanionEffect.CancelCall.class))
+        assertThat(companion.effectsOf(CompanionEffect.CancelCall.class))
                 .containsExactly(new CompanionEffect.CancelCall(id(1)));
         companion.end(2);
         assertThat(companion.called()).containsExactly(id(1), id(2), id(3));
     }
 
-    /** A clerk waits for an engine that has died without a sign. */
+    /** An engine dies without closing its connection, and a caller would wait for its answer forever. */
     @Test
-    void aTargetThatMakesNoProgressIsSaidToBeSilentButASlowCallerIsNot() {
+    void reportsATargetWithoutProgressAsSilentButNotASlowCaller() {
         companion.frame(1, prompt(1));
         companion.frame(1, prompt(2));
         LongStream.range(0, CompanionEffect.INITIAL_WINDOW_CHUNKS).forEach(chunk -> companion.chunk(2, "x", "v1"));
-        companion.pass(1_950, 1);
+        companion.advance(1_950, 1);
         assertThat(failures(1)).isEmpty();
-        companion.pass(50, 1);
+        companion.advance(50, 1);
 
         assertThat(companion.sent(1, Frame.AnswerFailed.class)).singleElement().satisfies(failed -> {
             assertThat(failed.attempt()).isEqualTo(id(1));
@@ -198,46 +200,46 @@
     }
 
     /**
-     * Every answer that runs ends as failed at one moment: the companion was frozen for some seconds, and by its clock
-     * all targets and links had been silent, though their frames were waiting to be read.
+     * After the companion was frozen for some seconds, all targets and links seem to have timed out, although their
+     * frames are pending. If timeouts applied at once, every running answer would fail.
      */
     @Test
-    void whatArrivesRightAfterAPauseOfTheProcessIsReadBeforeSilenceIsJudged() {
+    void readsPendingFramesAfterAPauseBeforeTimeoutsApply() {
         companion.frame(1, prompt(1));
         companion.frame(1, prompt(2));
-        companion.pass(100, 1);
+        companion.advance(100, 1);
         companion.freeze(10_000);
         companion.handle(new CompanionEvent.Tick());
         companion.chunk(1, "a", "v1");
-        companion.pass(1_500, 1);
+        companion.advance(1_500, 1);
 
-        assertThat(companion.all(CompanionEffect.CloseLink.class)).isEmpty();
+        assertThat(companion.effectsOf(CompanionEffect.CloseLink.class)).isEmpty();
         assertThat(companion.sent(1, Frame.AnswerFailed.class))
                 .extracting(Frame.AnswerFailed::attempt)
                 .containsExactly(id(2));
     }
 
     @Test
-    void anEngineThatReportsNoVersionGetsNoWork() {
+    void engineWithoutAReportedVersionGetsNoAttempts() {
         companion.reportVersion("");
-        companion.pass(1_000, 1);
+        companion.advance(1_000, 1);
         companion.effects.clear();
         companion.frame(1, CompanionDriver.promptFor(1, ""));
-        companion.pass(1_000, 1);
+        companion.advance(1_000, 1);
 
         assertThat(refusals(1)).containsExactly(ErrorKind.VERSION_CHANGED);
         assertThat(companion.sent(1, Frame.Heartbeat.class))
-                .allSatisfy(beat -> assertThat(beat.targets())
+                .allSatisfy(heartbeat -> assertThat(heartbeat.targets())
                         .anyMatch(state -> state.target().equals(CompanionDriver.ENGINE) && !state.accepting()));
     }
 
     /**
-     * A dispatch was lost with its link, or is held up on the way. The entry is told "not run" and goes elsewhere; when
-     * the dispatch arrives after all, it must not run here as well.
+     * A dispatch is lost with its link or delayed. The entry gets "not run" and sends the request elsewhere; if the
+     * dispatch arrives later, it must not run here as well.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aDispatchThatComesAfterItsCancelOrResumeNeverRuns(boolean cancelled) {
+    void dispatchThatArrivesAfterItsCancelOrResumeNeverRuns(boolean cancelled) {
         companion.frame(1, cancelled ? new Frame.Cancel(id(1)) : new Frame.Resume(id(1), INCARNATION, 0));
         companion.frame(1, append(1));
 
@@ -246,14 +248,14 @@
     }
 
     @Test
-    void endedAnswersThatNobodyReadAreKeptWithinTheirBound() {
+    void limitsRetainedEndedAnswers() {
         String megabyte = "x".repeat(1 << 20);
         for (int sequence = 1; sequence <= 8; sequence++) {
             companion.frame(1, prompt(sequence));
             companion.answer(sequence, megabyte);
             companion.end(sequence);
         }
-        companion.pass(50, 1);
+        companion.advance(50, 1);
         companion.openLink(2);
         for (int sequence = 1; sequence <= 8; sequence++) {
             companion.frame(2, new Frame.Resume(id(sequence), INCARNATION, 0));
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/EngineOrdersTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/EngineOrdersTest.java
@@ -14,30 +14,32 @@
     private long end;
 
     @Test
-    void anEngineAtAnotherVersionThanItsDocumentIsOrderedThroughTheLog() {
+    void ordersAnEngineThatReportsAnotherVersionThanItsDocument() {
         driver.reportVersion("v0");
-        logTurns(4);
-        assertThat(driver.all(CompanionEffect.QueryLastOrder.class)).isNotEmpty();
-        assertThat(driver.all(CompanionEffect.SendOrder.class)).isEmpty();
+        exchangeWithLog(4);
+        assertThat(driver.effectsOf(CompanionEffect.QueryLastOrder.class)).isNotEmpty();
+        assertThat(driver.effectsOf(CompanionEffect.SendOrder.class)).isEmpty();
         driver.handle(new CompanionEvent.OrderAnswered(CompanionDriver.ENGINE, 0, OrderOutcome.REFUSED));
-        assertThat(driver.all(CompanionEffect.SendOrder.class)).singleElement().satisfies(order -> {
-            assertThat(order.version()).isEqualTo("v1");
-            assertThat(order.fencing()).isBetween(1L, end);
-        });
+        assertThat(driver.effectsOf(CompanionEffect.SendOrder.class))
+                .singleElement()
+                .satisfies(order -> {
+                    assertThat(order.version()).isEqualTo("v1");
+                    assertThat(order.fencing()).isBetween(1L, end);
+                });
     }
 
     @Test
-    void anEngineAtTheVersionOfItsDocumentNeedsNoRecordInTheLog() {
+    void appendsNothingForAnEngineAtTheDesiredVersion() {
         driver.reportVersion("v1");
-        logTurns(4);
+        exchangeWithLog(4);
         assertThat(end).isZero();
     }
 
-    /** The log takes what is appended and answers each read. */
-    private void logTurns(int turns) {
-        for (int turn = 0; turn < turns; turn++) {
-            driver.pass(100, 1);
-            List<CompanionEffect.Append> appends = driver.all(CompanionEffect.Append.class).stream()
+    /** Lets the log accept all appends and answer each read. */
+    private void exchangeWithLog(int rounds) {
+        for (int round = 0; round < rounds; round++) {
+            driver.advance(100, 1);
+            List<CompanionEffect.Append> appends = driver.effectsOf(CompanionEffect.Append.class).stream()
                     .filter(append -> append.stream() == LogStream.ORDERS)
                     .toList();
             driver.effects.removeAll(appends);
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/ClaimGateTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/LogIdempotencyGateTest.java
@@ -16,17 +16,17 @@
 import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.ErrorKind;
 
-class ClaimGateTest {
+class LogIdempotencyGateTest {
     private final CompanionDriver driver = CompanionDriver.ready();
     private int appendsSeen;
     private long offset;
 
     /**
-     * A pump terminal posts the same refuelling twice, the second time since its first answer was lost on the way. The
-     * entry must be made once, and the second post get the first one's answer.
+     * A caller repeats a call whose answer was lost. The call must run once, and the repeat get the answer of the
+     * first.
      */
     @Test
-    void aKeyedCallWaitsForItsClaimRunsOnceAndItsRepeatGetsTheSameAnswer() {
+    void keyedCallRunsOnceAfterItsClaimAndRepeatsGetTheSameAnswer() {
         readLog();
         driver.frame(1, keyed(1));
         assertThat(driver.called()).as("before its claim is read back").isEmpty();
@@ -50,20 +50,20 @@
     }
 
     /**
-     * The log is down for an hour. A clerk's post is refused as "not run" within the wait, and must not run when the
-     * log is back.
+     * While the log is down, a call is refused as "not run" within the claim timeout. It must not run when the log is
+     * back.
      */
     @Test
-    void aCallThatIsRefusedWhileTheLogIsDownDoesNotRunLater() {
+    void callRefusedWhileTheLogIsDownDoesNotRunLater() {
         readLog();
         driver.frame(1, keyed(1));
         driver.handle(new CompanionEvent.AppendSettled(LogStream.CLAIMS, 2, new AppendResult.Unknown()));
-        driver.pass(1_100, 1);
+        driver.advance(1_100, 1);
         assertThat(driver.sent(1, Frame.NotRun.class))
                 .extracting(frame -> frame.refusal().kind())
                 .containsExactly(ErrorKind.LOG_UNAVAILABLE);
         readLog();
-        driver.pass(1_000, 1);
+        driver.advance(1_000, 1);
         readLog();
         assertThat(driver.called()).isEmpty();
 
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aCallThatNeverReachedItsTargetOrWasGivenUpLeavesItsKeyToTheNext() {
+    void callThatWasUnsentOrCancelledReleasesItsKey() {
         readLog();
         driver.frame(1, keyed(1));
         driver.frame(1, new Frame.Cancel(CompanionDriver.id(1)));
@@ -81,20 +81,20 @@
         readLog();
         driver.handle(new CompanionEvent.TargetFailed(CompanionDriver.id(2), true, "refused"));
         driver.frame(1, keyed(3));
-        driver.pass(100, 1);
+        driver.advance(100, 1);
         readLog();
 
         assertThat(driver.called()).containsExactly(CompanionDriver.id(2), CompanionDriver.id(3));
     }
 
     @Test
-    void aCallThatBrokeOffIsUnknownForItsRepeatsToo() {
+    void brokenCallIsUnknownForItsRepeatsToo() {
         readLog();
         driver.frame(1, keyed(1));
         readLog();
         driver.handle(new CompanionEvent.TargetFailed(CompanionDriver.id(1), false, "reset"));
         driver.frame(1, keyed(2));
-        driver.pass(100, 1);
+        driver.advance(100, 1);
         readLog();
         driver.frame(1, keyed(3));
 
@@ -102,29 +102,29 @@
         assertThat(failure(3)).isEqualTo(ErrorKind.OUTCOME_UNKNOWN);
     }
 
-    /** An answer that was given but not yet recorded would be unknown to repeats if the companion left before. */
+    /** If the companion exited before an answer that was sent is recorded, repeats of the call would get "unknown". */
     @ParameterizedTest
-    @EnumSource(LogEnds.class)
-    void aDrainingCompanionLeavesOnceTheLogHasItsAnswersOrDoesNotTakeThemInTime(LogEnds log) {
+    @EnumSource(LogBehavior.class)
+    void drainEndsOnceAnswersAreLoggedOrTheTimeoutHasPassed(LogBehavior log) {
         readLog();
         driver.frame(1, keyed(1));
         readLog();
         driver.answer(1, "done");
         driver.end(1);
         driver.handle(new CompanionEvent.DrainRequested());
-        driver.pass(100, 1);
-        assertThat(driver.all(CompanionEffect.Drained.class)).isEmpty();
-        if (log == LogEnds.ANSWERS) {
+        driver.advance(100, 1);
+        assertThat(driver.effectsOf(CompanionEffect.Drained.class)).isEmpty();
+        if (log == LogBehavior.ANSWERS) {
             readLog();
         } else {
-            driver.pass(ClaimGate.SETTLE_MICROS / 1_000, 1);
+            driver.advance(LogIdempotencyGate.DRAIN_TIMEOUT_MICROS / 1_000, 1);
         }
-        assertThat(driver.all(CompanionEffect.Drained.class)).hasSize(1);
+        assertThat(driver.effectsOf(CompanionEffect.Drained.class)).hasSize(1);
     }
 
-    private enum LogEnds {
+    private enum LogBehavior {
         ANSWERS,
-        STAYS_SILENT
+        UNRESPONSIVE
     }
 
     private static Frame.Dispatch keyed(long sequence) {
@@ -145,11 +145,11 @@
                 plain.prompt());
     }
 
-    /** Lets all appends land, and reads the log until nothing new comes. */
+    /** Lets all appends succeed, and reads the log until it has no new records. */
     private void readLog() {
         do {
             List<LogRecord> records = new ArrayList<>();
-            List<CompanionEffect.Append> appends = driver.all(CompanionEffect.Append.class).stream()
+            List<CompanionEffect.Append> appends = driver.effectsOf(CompanionEffect.Append.class).stream()
                     .filter(append -> append.stream() == LogStream.CLAIMS)
                     .toList();
             for (CompanionEffect.Append append : appends.subList(appendsSeen, appends.size())) {
@@ -157,9 +157,9 @@
             }
             appendsSeen = appends.size();
             driver.handle(new CompanionEvent.LogRead(LogStream.CLAIMS, records, true));
-            driver.pass(50, 1);
+            driver.advance(50, 1);
         } while (appendsSeen
-                < driver.all(CompanionEffect.Append.class).stream()
+                < driver.effectsOf(CompanionEffect.Append.class).stream()
                         .filter(append -> append.stream() == LogStream.CLAIMS)
                         .count());
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/StoredContextMoverTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/StoredContextMoverTest.java
@@ -43,29 +43,29 @@
                 plain.calls(),
                 plain.cache(),
                 plain.limits()));
-        driver.pass(6_000, 1);
+        driver.advance(6_000, 1);
         driver.reportVersion("v1");
         driver.effects.clear();
     }
 
     @Test
-    void whatOneRunExportsIsFetchedForTheNextBeforeItsEngineIsCalled() {
+    void fetchesExportedBlocksBeforeTheNextCall() {
         run(1, 0);
-        for (ExportBlock export : driver.all(ExportBlock.class)) {
+        for (ExportBlock export : driver.effectsOf(ExportBlock.class)) {
             driver.handle(new CompanionEvent.MoveEnded(export.move(), MoveOutcome.DONE, BLOCK_BYTES));
         }
-        assertThat(driver.all(ExportBlock.class)).hasSize(2);
+        assertThat(driver.effectsOf(ExportBlock.class)).hasSize(2);
         driver.handle(new CompanionEvent.CacheEventsReported(CompanionDriver.ENGINE, true, List.of()));
-        driver.pass(2_000, 1);
+        driver.advance(2_000, 1);
         driver.effects.clear();
 
         driver.frame(1, prompt(2));
-        assertThat(driver.all(StartPrompt.class)).isEmpty();
+        assertThat(driver.effectsOf(StartPrompt.class)).isEmpty();
         answerLookups();
-        assertThat(driver.all(StartPrompt.class)).isEmpty();
+        assertThat(driver.effectsOf(StartPrompt.class)).isEmpty();
         endFetches(MoveOutcome.DONE);
 
-        assertThat(driver.all(StartPrompt.class)).hasSize(1);
+        assertThat(driver.effectsOf(StartPrompt.class)).hasSize(1);
         driver.answer(2, "yes");
         driver.handle(new CompanionEvent.TargetAnswerEnded(CompanionDriver.id(2), new Usage(4_050, 4_000, 0, 0, 1, 0)));
         Frame.AnswerEnd end = driver.sent(1, Frame.AnswerEnd.class).get(0);
@@ -74,38 +74,38 @@
     }
 
     /**
-     * A caller goes away, or is told "not run", while its context is being fetched; then the fetch ends. The engine
-     * must not be called for it any more.
+     * An attempt is cancelled while its context is being fetched, and the fetch ends afterwards. The engine must not be
+     * called for it any more.
      */
     @Test
-    void anAttemptThatIsCancelledDuringItsFetchIsNeverCalled() {
+    void attemptCancelledDuringItsFetchIsNeverCalled() {
         driver.frame(1, prompt(2));
         answerLookups();
         driver.frame(1, new Frame.Cancel(CompanionDriver.id(2)));
         endFetches(MoveOutcome.DONE);
-        driver.pass(3_000, 1);
+        driver.advance(3_000, 1);
 
         assertThat(driver.sent(1, Frame.NotRun.class)).hasSize(1);
-        assertThat(driver.all(StartPrompt.class)).isEmpty();
+        assertThat(driver.effectsOf(StartPrompt.class)).isEmpty();
     }
 
-    /** A bus waits at the pump: neither store nor move ever answers, and the check must run all the same. */
+    /** Neither a lookup nor a fetch ever ends; the prompt must run nevertheless. */
     @Test
-    void aPromptIsCalledThoughNothingOfItsContextEverAnswers() {
+    void callsAPromptWhenItsStoreNeverAnswers() {
         driver.frame(1, prompt(2));
-        driver.pass(100, 1);
-        assertThat(driver.all(StartPrompt.class)).hasSize(1);
+        driver.advance(100, 1);
+        assertThat(driver.effectsOf(StartPrompt.class)).hasSize(1);
 
-        driver.pass(2_000, 1);
+        driver.advance(2_000, 1);
         driver.frame(1, prompt(3));
         answerLookups();
-        driver.pass(2_000, 1);
-        assertThat(driver.all(StartPrompt.class)).hasSize(2);
+        driver.advance(2_000, 1);
+        assertThat(driver.effectsOf(StartPrompt.class)).hasSize(2);
     }
 
     private void run(long sequence, int cachedTokens) {
         driver.frame(1, prompt(sequence));
-        driver.all(LookUpBlocks.class)
+        driver.effectsOf(LookUpBlocks.class)
                 .forEach(
                         lookup -> driver.handle(new CompanionEvent.BlockLookupEnded(lookup.lookup(), List.of(), true)));
         driver.answer(sequence, "yes");
@@ -114,7 +114,7 @@
     }
 
     private void answerLookups() {
-        for (LookUpBlocks lookup : driver.all(LookUpBlocks.class)) {
+        for (LookUpBlocks lookup : driver.effectsOf(LookUpBlocks.class)) {
             List<StoredBlock> found = lookup.blocks().stream()
                     .map(block -> new StoredBlock(block, 7, 1, BLOCK_BYTES, Digest.of("content")))
                     .toList();
@@ -123,8 +123,8 @@
     }
 
     private void endFetches(MoveOutcome outcome) {
-        assertThat(driver.all(FetchBlock.class)).hasSize(2);
-        for (FetchBlock fetch : driver.all(FetchBlock.class)) {
+        assertThat(driver.effectsOf(FetchBlock.class)).hasSize(2);
+        for (FetchBlock fetch : driver.effectsOf(FetchBlock.class)) {
             driver.handle(new CompanionEvent.MoveEnded(fetch.move(), outcome, BLOCK_BYTES));
         }
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/TombstonesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/companion/TombstonesTest.java
@@ -16,11 +16,11 @@
     private final Tombstones tombstones = new Tombstones(2);
 
     /**
-     * A dispatch is held up so long that its tombstone has been dropped to bound the memory. It still must not run, and
-     * what may have run before is never called not run.
+     * A dispatch is delayed until its tombstone has been evicted. It still must not run, and an attempt that may have
+     * run is never reported as not run.
      */
     @Test
-    void whatWasDroppedIsStillRefusedAndNeverCalledNotRunIfItMayHaveRun() {
+    void evictedAttemptIsRefusedAndNeverReportedNotRunIfItMayHaveRun() {
         tombstones.add(id(1), ErrorKind.OUTCOME_UNKNOWN);
         tombstones.add(id(2), ErrorKind.OVERLOADED);
         tombstones.add(id(3), ErrorKind.OVERLOADED);
@@ -34,27 +34,27 @@
     }
 
     @Property(seed = "51", tries = 200)
-    void whatEndedIsNeverForgottenAndWhatMayHaveRunIsNeverCalledNotRun(@ForAll long randomSeed) {
+    void endedAttemptsStayRefusedAndAreNeverReportedNotRunIfTheyMayHaveRun(@ForAll long randomSeed) {
         Random random = new Random(randomSeed);
-        Tombstones few = new Tombstones(1 + random.nextInt(8));
+        Tombstones limited = new Tombstones(1 + random.nextInt(8));
         Map<AttemptId, ErrorKind> ended = new HashMap<>();
         for (int step = 0; step < 100; step++) {
             AttemptId attempt = new AttemptId(random.nextInt(3), random.nextInt(60), 1 + random.nextInt(2));
             ErrorKind kind = random.nextBoolean() ? ErrorKind.OVERLOADED : ErrorKind.OUTCOME_UNKNOWN;
-            if (few.find(attempt).isEmpty()) {
-                few.add(attempt, kind);
+            if (limited.find(attempt).isEmpty()) {
+                limited.add(attempt, kind);
                 ended.put(attempt, kind);
             }
-            ended.forEach((known, how) -> assertThat(few.find(known))
-                    .hasValueSatisfying(
-                            now -> assertThat(now.runState() == RunState.UNKNOWN || how.runState() == RunState.NOT_RUN)
-                                    .as("%s ended as %s and is called %s", known, how, now)
-                                    .isTrue()));
+            ended.forEach((past, recorded) -> assertThat(limited.find(past))
+                    .hasValueSatisfying(reported -> assertThat(
+                                    reported.runState() == RunState.UNKNOWN || recorded.runState() == RunState.NOT_RUN)
+                            .as("%s ended as %s and is reported as %s", past, recorded, reported)
+                            .isTrue()));
         }
     }
 
     @Test
-    void anotherEntrysSequencesAreNotTouched() {
+    void floorsOfOneEntryDoNotAffectAnother() {
         for (int sequence = 1; sequence <= 9; sequence++) {
             tombstones.add(id(sequence), ErrorKind.OUTCOME_UNKNOWN);
         }
