--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/companion/EngineOrders.java
@@ -14,111 +14,111 @@
 import org.rattanrudder.core.orders.DesiredState;
 import org.rattanrudder.core.orders.OrderActions;
 import org.rattanrudder.core.orders.OrderLedger;
-import org.rattanrudder.core.orders.OrderTerms;
+import org.rattanrudder.core.orders.OrderSettings;
 import org.rattanrudder.core.orders.TargetKey;
 import org.rattanrudder.core.orders.TargetOrders;
 
-/** Orders this companion's engines to the state that their documents ask for. */
+/** Sends orders to this companion's engines until they have the state that their documents specify. */
 final class EngineOrders implements CompanionPart {
     private final long incarnation;
-    private final OrderTerms terms;
+    private final OrderSettings settings;
     private final LogWriter log;
     private final OrderLedger ledger = new OrderLedger();
     private final Map<TargetName, TargetOrders> orders = new TreeMap<>(Comparator.comparing(TargetName::value));
-    private final Map<TargetName, HeldTarget> targets = new TreeMap<>(Comparator.comparing(TargetName::value));
-    private long lastMicros = Long.MAX_VALUE;
+    private final Map<TargetName, AssignedTarget> targets = new TreeMap<>(Comparator.comparing(TargetName::value));
+    private long lastEventMicros = Long.MAX_VALUE;
 
-    EngineOrders(long incarnation, OrderTerms terms, RandomGenerator random) {
+    EngineOrders(long incarnation, OrderSettings settings, RandomGenerator random) {
         this.incarnation = incarnation;
-        this.terms = terms;
+        this.settings = settings;
         this.log = new LogWriter(LogStream.ORDERS, incarnation, LogWriterSettings.DEFAULT, random);
     }
 
     @Override
-    public void configured(Collection<HeldTarget> held, Turn turn) {
+    public void onTargetsChanged(Collection<AssignedTarget> assigned, EventContext context) {
         targets.clear();
-        for (HeldTarget target : held) {
+        for (AssignedTarget target : assigned) {
             if (!target.isReleased() && target.document().model().isPresent()) {
                 targets.put(target.name(), target);
                 orders.computeIfAbsent(target.name(), name -> newOrders(target))
-                        .want(DesiredState.of(target.document().model().get()));
+                        .setDesired(DesiredState.of(target.document().model().get()));
             }
         }
         orders.keySet().retainAll(targets.keySet());
     }
 
     @Override
-    public void handle(CompanionEvent event, Turn turn) {
-        long nowMicros = turn.nowMicros();
-        if (nowMicros - lastMicros > terms.pauseMicros()) {
-            // Failure: a companion that was frozen, by its machine or a signal, goes on where it stood and gives an
-            // order after another took over. Ticks come every 50 ms, so a jump shows the pause, whatever its length.
-            orders.values().forEach(TargetOrders::paused);
-            ledger.paused(nowMicros, terms.doubtMicros());
-            turn.note("paused", "micros", Long.toString(nowMicros - lastMicros));
+    public void handle(CompanionEvent event, EventContext context) {
+        long nowMicros = context.nowMicros();
+        if (nowMicros - lastEventMicros > settings.pauseThresholdMicros()) {
+            // A companion that was frozen, with its machine or by a signal, would resume where it stopped and could
+            // send an order after another took over. Ticks come every 50 ms, so a gap between events shows the pause.
+            orders.values().forEach(TargetOrders::onPause);
+            ledger.onPause(nowMicros, settings.staleReadMicros());
+            context.logEvent("paused", "micros", Long.toString(nowMicros - lastEventMicros));
         }
-        lastMicros = nowMicros;
+        lastEventMicros = nowMicros;
         if (event instanceof CompanionEvent.LogRead read && read.stream() == LogStream.ORDERS) {
-            read(read, nowMicros);
+            onLogRead(read, nowMicros);
         } else if (event instanceof CompanionEvent.LogReadFailed failed && failed.stream() == LogStream.ORDERS) {
             log.onReadFailed();
         } else if (event instanceof CompanionEvent.AppendSettled settled && settled.stream() == LogStream.ORDERS) {
             log.onAppendResult(settled.sequence(), settled.result(), nowMicros);
         } else if (event instanceof CompanionEvent.LoadReported reported && orders.containsKey(reported.target())) {
-            orders.get(reported.target()).reported(reported.load().weightVersion(), nowMicros);
+            orders.get(reported.target()).onVersionReported(reported.load().weightVersion(), nowMicros);
         } else if (event instanceof CompanionEvent.OrderAnswered answered && orders.containsKey(answered.target())) {
             orders.get(answered.target())
-                    .answered(answered.fencing(), answered.outcome(), nowMicros, actions(answered.target(), turn));
+                    .onAnswer(answered.fencing(), answered.outcome(), nowMicros, actions(answered.target(), context));
         } else if (!(event instanceof CompanionEvent.Tick)) {
             return;
         }
-        orders.forEach((name, each) -> each.advance(nowMicros, actions(name, turn)));
-        log.sendDue(nowMicros, (stream, batch) -> turn.ask(new CompanionEffect.Append(stream, batch)));
+        orders.forEach((name, each) -> each.advance(nowMicros, actions(name, context)));
+        log.sendDue(nowMicros, (stream, batch) -> context.emit(new CompanionEffect.Append(stream, batch)));
     }
 
-    private TargetOrders newOrders(HeldTarget target) {
-        return new TargetOrders(new TargetKey(target.service(), target.name()), incarnation, ledger, terms);
+    private TargetOrders newOrders(AssignedTarget target) {
+        return new TargetOrders(new TargetKey(target.service(), target.name()), incarnation, ledger, settings);
     }
 
-    private void read(CompanionEvent.LogRead read, long nowMicros) {
+    private void onLogRead(CompanionEvent.LogRead read, long nowMicros) {
         for (LogRecord record : read.records()) {
-            if (ledger.take(record, nowMicros) && record.batch().writer() == incarnation) {
-                record.batch().entries().forEach(entry -> readBack(entry, record.offset(), nowMicros));
+            if (ledger.apply(record, nowMicros) && record.batch().writer() == incarnation) {
+                record.batch().entries().forEach(entry -> onReadBack(entry, record.offset(), nowMicros));
             }
         }
         if (read.caughtUp()) {
-            ledger.reachedEnd(nowMicros);
+            ledger.onEndReached(nowMicros);
         }
         log.onRecords(read.records(), read.caughtUp());
     }
 
-    private void readBack(LogEntry entry, long offset, long nowMicros) {
-        orders.values().forEach(each -> each.readBack(entry, offset, nowMicros));
+    private void onReadBack(LogEntry entry, long offset, long nowMicros) {
+        orders.values().forEach(each -> each.onReadBack(entry, offset, nowMicros));
     }
 
-    private OrderActions actions(TargetName name, Turn turn) {
-        HeldTarget target = targets.get(name);
+    private OrderActions actions(TargetName name, EventContext context) {
+        AssignedTarget target = targets.get(name);
         return new OrderActions() {
             @Override
             public boolean append(LogEntry entry) {
-                return log.offer(entry, turn.nowMicros()) == LogWriter.OfferResult.QUEUED;
+                return log.offer(entry, context.nowMicros()) == LogWriter.OfferResult.QUEUED;
             }
 
             @Override
-            public void give(long fencing, DesiredState state) {
-                turn.ask(new CompanionEffect.SendOrder(
+            public void sendOrder(long fencing, DesiredState state) {
+                context.emit(new CompanionEffect.SendOrder(
                         name, target.settings().address(), fencing, state.model(), state.version(), state.adapters()));
             }
 
             @Override
-            public void askLast() {
-                turn.ask(new CompanionEffect.QueryLastOrder(
+            public void queryLastOrder() {
+                context.emit(new CompanionEffect.QueryLastOrder(
                         name, target.settings().address()));
             }
 
             @Override
-            public void note(String event, String... fields) {
-                turn.note(event, fields);
+            public void logEvent(String event, String... fields) {
+                context.logEvent(event, fields);
             }
         };
     }
