--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Admission.java
@@ -4,81 +4,84 @@
 import java.util.Optional;
 
 /**
- * Decides who gets a place at one target, who waits and who is refused.
+ * Admission control for one target: decides which requests run, which are queued and which are refused.
  *
  * <pre>{@code
- * Admission.Decision<String> decision = admission.offer(applicant, now);
- * Optional<String> first = admission.start(now);
+ * Admission.Decision<String> decision = admission.offer(request, now);
+ * Optional<String> first = admission.startNext(now);
  * }</pre>
  *
- * @param <T> the type of what names a request
+ * @param <T> the type of a request's identifier
  */
 public interface Admission<T> {
-    /** Takes new limits; what runs and waits stays. */
+    /** Sets new limits. Running and queued requests are kept. */
     void updateLimits(AdmissionLimits limits);
 
-    /** Takes a request, or refuses it because it can't start in time or is the least urgent of too many. */
-    Decision<T> offer(AdmissionRequest<T> applicant, long nowMicros);
+    /**
+     * Queues a request, or refuses it because it can't start in time or because the queue is full and it is the
+     * least urgent.
+     */
+    Decision<T> offer(AdmissionRequest<T> request, long nowMicros);
 
-    /** Returns whether a request would be refused because it can't start in time, without taking it. */
-    boolean wouldMissDeadline(AdmissionRequest<T> applicant, long nowMicros);
+    /** Returns whether a request would be refused because it can't start in time, without queueing it. */
+    boolean wouldMissDeadline(AdmissionRequest<T> request, long nowMicros);
 
-    /** Gives the next request a place, if one is free for it. */
+    /** Starts the next queued request, if a slot is free for it. */
     Optional<T> startNext(long nowMicros);
 
-    /** Takes note of the first byte of the answer of a request that has its place. */
+    /** Records the first byte of a running request's answer. */
     void onFirstByte(T item, long nowMicros);
 
-    /** Takes back the place of a request whose answer is whole, and learns what it cost. */
+    /** Releases the slot of a request whose answer is complete, and updates the cost estimates. */
     void onFinished(T item, long nowMicros);
 
-    /** Takes back the place of a request that broke off, or takes out one that waits; else nothing happens. */
+    /** Releases the slot of a running request, or removes a queued one; does nothing for any other. */
     void cancel(T item);
 
-    /** Takes out those that wait and can't start in time any more. */
+    /** Removes and returns the queued requests that can no longer start in time. */
     List<T> removeLate(long nowMicros);
 
-    /** Takes out all that wait. */
+    /** Removes and returns all queued requests. */
     List<T> removeAllQueued();
 
-    /** Returns how long a newcomer of this priority would wait, in microseconds. */
+    /** Returns how long a new request of this priority is expected to wait, in microseconds. */
     long expectedWaitMicros(int priority, long nowMicros);
 
-    /** Returns how many have a place. */
+    /** Returns the number of running requests. */
     int runningCount();
 
-    /** Returns how many wait. */
+    /** Returns the number of queued requests. */
     int queuedCount();
 
     /**
-     * What came of an offer.
+     * The result of {@link #offer}.
      *
-     * @param <T> the type of what names a request
+     * @param <T> the type of a request's identifier
      */
     sealed interface Decision<T> {}
 
     /**
-     * It waits, or can start at once.
+     * The request was queued; it may be able to start at once.
      *
-     * @param evicted a less urgent request that had to give way
-     * @param <T> the type of what names a request
+     * @param evicted a less urgent request that was evicted from the full queue
+     * @param <T> the type of a request's identifier
      */
     record Queued<T>(Optional<T> evicted) implements Decision<T> {}
 
     /**
-     * It is refused.
+     * The request was refused.
      *
      * @param reason why
-     * @param waitMicros how long it would have waited
-     * @param <T> the type of what names a request
+     * @param waitMicros how long it was expected to wait
+     * @param <T> the type of a request's identifier
      */
     record Refused<T>(Reason reason, long waitMicros) implements Decision<T> {}
 
     /** Why a request is refused. */
     enum Reason {
-        /** It can't meet its deadline. */
+        /** The request can't meet its deadline. */
         TOO_LATE,
-        /** Too many wait, and none is less urgent. */
+        /** The queue is full, and no queued request is less urgent. */
         FULL
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/FairAdmission.java
@@ -9,75 +9,76 @@
 import java.util.Set;
 
 /**
- * Admits by priority, deadline and customer's share.
+ * Admits requests by priority, deadline and the customer's share.
  *
- * <p>A request whose expected start lies after the last moment that meets its deadline is refused when it comes, or as
- * soon as that becomes known while it waits.
+ * <p>A request that is expected to start too late for its deadline is refused on arrival, or removed from the queue
+ * as soon as this becomes known.
  *
- * @param <T> the type of what names a request
+ * @param <T> the type of a request's identifier
  */
 public final class FairAdmission<T> implements Admission<T> {
     /**
-     * A newcomer is taken only if its expected wait is at most this part of the time that it has. Others that come
-     * after it may go first, and what is taken on and then given up was told late.
+     * A new request is queued only if its expected wait is at most this share of the time until its latest start.
+     * Requests that arrive later may go first, and a request that is removed from the queue learns late that it is
+     * refused.
      */
-    private static final double CAUTION = 0.5;
+    private static final double MAX_WAIT_SHARE = 0.5;
 
     /**
-     * A request that waits is given up only when its expected wait is longer than the time left by this factor. The
-     * estimate is a mean: giving up at the bare deadline would refuse some that would have made it.
+     * A queued request is removed only if its expected wait exceeds the time until its latest start by this factor.
+     * The estimate is a mean: with a factor of 1, some requests would be refused that would have started in time.
      */
-    private static final double PATIENCE = 1.25;
+    private static final double LATE_RATIO = 1.25;
 
     /**
-     * A newcomer is taken only if its first byte is expected within this part of the time that it has, by the rate at
-     * which first bytes come.
+     * A new request is queued only if its first byte is expected within this share of the time until its deadline,
+     * at the measured rate of first bytes.
      */
-    private static final double FIRST_BYTE_CAUTION = 0.65;
+    private static final double MAX_FIRST_BYTE_SHARE = 0.65;
 
     private final Map<T, Running<T>> running = new HashMap<>();
     private final Set<T> awaitingFirstByte = new HashSet<>();
-    private final Map<T, AdmissionRequest<T>> applicants = new HashMap<>();
-    private final ServiceTimes times = new ServiceTimes();
-    private final FirstByteTimes firstBytes = new FirstByteTimes();
-    private final LoadMeter meter = new LoadMeter();
-    private final WaitingLine<T> line;
+    private final Map<T, AdmissionRequest<T>> queued = new HashMap<>();
+    private final ServiceTimes serviceTimes = new ServiceTimes();
+    private final FirstByteEstimator firstByteEstimator = new FirstByteEstimator();
+    private final LoadMeter loadMeter = new LoadMeter();
+    private final RequestQueue<T> queue;
     private AdmissionLimits limits;
     private int lessUrgentRunning;
 
-    /** Creates one with nothing running or waiting. */
+    /** Creates an admission without running or queued requests. */
     public FairAdmission(AdmissionLimits limits) {
         this.limits = limits;
-        this.line = new FairLine<>(limits.queueLength());
+        this.queue = new FairQueue<>(limits.queueLength());
     }
 
     @Override
     public void updateLimits(AdmissionLimits newLimits) {
         limits = newLimits;
-        line.limit(newLimits.queueLength());
+        queue.setCapacity(newLimits.queueLength());
     }
 
     @Override
-    public Decision<T> offer(AdmissionRequest<T> applicant, long nowMicros) {
-        Ticket<T> ticket = ticket(applicant);
-        long wait = waitMicros(ticket, nowMicros);
-        if (isTooLate(ticket, applicant.deadlineMicros(), wait, nowMicros)) {
+    public Decision<T> offer(AdmissionRequest<T> request, long nowMicros) {
+        QueuedRequest<T> queuedRequest = queuedRequest(request);
+        long wait = waitMicros(queuedRequest, nowMicros);
+        if (isTooLate(queuedRequest, request.deadlineMicros(), wait, nowMicros)) {
             return new Refused<>(Reason.TOO_LATE, wait);
         }
-        applicants.put(ticket.item(), applicant);
-        Optional<Ticket<T>> evicted = line.add(ticket);
-        evicted.ifPresent(each -> applicants.remove(each.item()));
-        noteWaiting(nowMicros);
-        if (evicted.isPresent() && evicted.get() == ticket) {
+        queued.put(queuedRequest.item(), request);
+        Optional<QueuedRequest<T>> evicted = queue.add(queuedRequest);
+        evicted.ifPresent(each -> queued.remove(each.item()));
+        updateQueuedPriorities(nowMicros);
+        if (evicted.isPresent() && evicted.get() == queuedRequest) {
             return new Refused<>(Reason.FULL, wait);
         }
-        return new Queued<>(evicted.map(Ticket::item));
+        return new Queued<>(evicted.map(QueuedRequest::item));
     }
 
     @Override
-    public boolean wouldMissDeadline(AdmissionRequest<T> applicant, long nowMicros) {
-        Ticket<T> ticket = ticket(applicant);
-        return isTooLate(ticket, applicant.deadlineMicros(), waitMicros(ticket, nowMicros), nowMicros);
+    public boolean wouldMissDeadline(AdmissionRequest<T> request, long nowMicros) {
+        QueuedRequest<T> queuedRequest = queuedRequest(request);
+        return isTooLate(queuedRequest, request.deadlineMicros(), waitMicros(queuedRequest, nowMicros), nowMicros);
     }
 
     @Override
@@ -86,19 +87,19 @@
             return Optional.empty();
         }
         boolean onlyUrgent = lessUrgentRunning >= limits.slots() - limits.reservedSlots();
-        Optional<Ticket<T>> next = line.next(onlyUrgent ? limits.urgentPriority() : Integer.MAX_VALUE);
+        Optional<QueuedRequest<T>> next = queue.next(onlyUrgent ? limits.urgentPriority() : Integer.MAX_VALUE);
         if (next.isEmpty()) {
             return Optional.empty();
         }
-        Ticket<T> ticket = next.get();
-        String requestClass = applicants.remove(ticket.item()).requestClass();
-        running.put(ticket.item(), new Running<>(ticket, requestClass, nowMicros));
-        awaitingFirstByte.add(ticket.item());
-        firstBytes.started(ticket.priority(), nowMicros);
-        noteWaiting(nowMicros);
-        lessUrgentRunning += ticket.priority() > limits.urgentPriority() ? 1 : 0;
-        meter.started(ticket.priority(), ticket.costMicros(), nowMicros);
-        return Optional.of(ticket.item());
+        QueuedRequest<T> queuedRequest = next.get();
+        String requestClass = queued.remove(queuedRequest.item()).requestClass();
+        running.put(queuedRequest.item(), new Running<>(queuedRequest, requestClass, nowMicros));
+        awaitingFirstByte.add(queuedRequest.item());
+        firstByteEstimator.onStarted(queuedRequest.priority(), nowMicros);
+        updateQueuedPriorities(nowMicros);
+        lessUrgentRunning += queuedRequest.priority() > limits.urgentPriority() ? 1 : 0;
+        loadMeter.onStarted(queuedRequest.priority(), queuedRequest.costMicros(), nowMicros);
+        return Optional.of(queuedRequest.item());
     }
 
     @Override
@@ -106,46 +107,46 @@
         Running<T> started = running.get(item);
         if (started != null) {
             if (awaitingFirstByte.remove(item)) {
-                firstBytes.firstByte(started.ticket().priority(), nowMicros);
+                firstByteEstimator.onFirstByte(started.request().priority(), nowMicros);
             }
-            times.firstByte(started.requestClass(), nowMicros - started.sinceMicros());
+            serviceTimes.recordFirstByte(started.requestClass(), nowMicros - started.startedMicros());
         }
     }
 
     @Override
     public void onFinished(T item, long nowMicros) {
-        Running<T> ended = stop(item);
+        Running<T> ended = removeRunning(item);
         if (ended != null) {
-            long held = nowMicros - ended.sinceMicros();
-            times.held(ended.requestClass(), held);
-            line.charge(ended.ticket(), held - ended.ticket().costMicros());
+            long held = nowMicros - ended.startedMicros();
+            serviceTimes.recordHeld(ended.requestClass(), held);
+            queue.charge(ended.request(), held - ended.request().costMicros());
         }
     }
 
     @Override
     public void cancel(T item) {
-        if (stop(item) == null) {
-            line.remove(item);
-            applicants.remove(item);
+        if (removeRunning(item) == null) {
+            queue.remove(item);
+            queued.remove(item);
         }
     }
 
     @Override
     public List<T> removeLate(long nowMicros) {
         List<T> late = new ArrayList<>();
-        for (int priority : line.priorities()) {
+        for (int priority : queue.priorities()) {
             addLate(priority, late, nowMicros);
         }
         late.forEach(this::cancel);
-        noteWaiting(nowMicros);
+        updateQueuedPriorities(nowMicros);
         return late;
     }
 
     @Override
     public List<T> removeAllQueued() {
         List<T> all = new ArrayList<>();
-        for (int priority : line.priorities()) {
-            line.inOrder(priority).forEach(ticket -> all.add(ticket.item()));
+        for (int priority : queue.priorities()) {
+            queue.inOrder(priority).forEach(queuedRequest -> all.add(queuedRequest.item()));
         }
         all.forEach(this::cancel);
         return all;
@@ -153,7 +154,8 @@
 
     @Override
     public long expectedWaitMicros(int priority, long nowMicros) {
-        return waitMicros(new Ticket<>(null, null, 1, priority, Long.MAX_VALUE, times.costMicros()), nowMicros);
+        return waitMicros(
+                new QueuedRequest<>(null, null, 1, priority, Long.MAX_VALUE, serviceTimes.costMicros()), nowMicros);
     }
 
     @Override
@@ -163,91 +165,94 @@
 
     @Override
     public int queuedCount() {
-        return line.size();
+        return queue.size();
     }
 
     /**
-     * Returns whether a newcomer is to be refused. One that can start now is always tried: its class may have been
-     * measured in a bad moment, and if that refused it, nothing would ever correct the measurement.
+     * Returns whether a new request must be refused. One that can start now is always admitted: if an unusually slow
+     * measurement of its class refused it, no later measurement could correct the estimate.
      */
-    private boolean isTooLate(Ticket<T> newcomer, long dueMicros, long waitMicros, long nowMicros) {
+    private boolean isTooLate(QueuedRequest<T> newRequest, long deadlineMicros, long waitMicros, long nowMicros) {
         if (waitMicros <= 0) {
             return false;
         }
-        return waitMicros > CAUTION * (newcomer.startByMicros() - nowMicros)
-                || firstByteMicros(newcomer) > FIRST_BYTE_CAUTION * (dueMicros - nowMicros);
+        return waitMicros > MAX_WAIT_SHARE * (newRequest.startByMicros() - nowMicros)
+                || expectedFirstByteMicros(newRequest) > MAX_FIRST_BYTE_SHARE * (deadlineMicros - nowMicros);
     }
 
-    /** Returns in how long a newcomer's first byte comes, by the rate at which they come; 0 if that isn't known. */
-    private long firstByteMicros(Ticket<T> newcomer) {
-        int priority = newcomer.priority();
-        double work = line.workAheadMicros(newcomer);
+    /**
+     * Returns the expected time until a new request's first byte, at the measured rate of first bytes; 0 if unknown.
+     */
+    private long expectedFirstByteMicros(QueuedRequest<T> newRequest) {
+        int priority = newRequest.priority();
+        double work = queue.workAheadMicros(newRequest);
         return work == 0
-                ? firstBytes.expectedMicros(priority, 0)
-                : firstBytes.expectedMicros(priority, line.size(priority) * work / line.workMicros(priority));
+                ? firstByteEstimator.expectedMicros(priority, 0)
+                : firstByteEstimator.expectedMicros(priority, queue.size(priority) * work / queue.workMicros(priority));
     }
 
-    private void noteWaiting(long nowMicros) {
-        firstBytes.waiting(priority -> line.size(priority) > 0, nowMicros);
+    private void updateQueuedPriorities(long nowMicros) {
+        firstByteEstimator.updateQueued(priority -> queue.size(priority) > 0, nowMicros);
     }
 
     private void addLate(int priority, List<T> late, long nowMicros) {
-        Pace pace = pace(priority, nowMicros);
-        long moreUrgent = line.moreUrgentMicros(priority);
-        long longestWait = pace.waitMicros(moreUrgent, line.workMicros(priority));
-        if (!isLate(longestWait, line.earliestStartMicros(priority) - nowMicros)) {
+        ServiceRate rate = serviceRate(priority, nowMicros);
+        long moreUrgent = queue.moreUrgentWorkMicros(priority);
+        long maxWait = rate.waitMicros(moreUrgent, queue.workMicros(priority));
+        if (!isLate(maxWait, queue.earliestStartMicros(priority) - nowMicros)) {
             return;
         }
         long same = 0;
-        for (Ticket<T> ticket : line.inOrder(priority)) {
-            if (isLate(pace.waitMicros(moreUrgent, same), ticket.startByMicros() - nowMicros)) {
-                late.add(ticket.item());
+        for (QueuedRequest<T> queuedRequest : queue.inOrder(priority)) {
+            if (isLate(rate.waitMicros(moreUrgent, same), queuedRequest.startByMicros() - nowMicros)) {
+                late.add(queuedRequest.item());
             } else {
-                same += ticket.costMicros();
+                same += queuedRequest.costMicros();
             }
         }
     }
 
     private static boolean isLate(long waitMicros, long leftMicros) {
-        return leftMicros < 0 || waitMicros > PATIENCE * leftMicros;
+        return leftMicros < 0 || waitMicros > LATE_RATIO * leftMicros;
     }
 
-    private Ticket<T> ticket(AdmissionRequest<T> applicant) {
-        return new Ticket<>(
-                applicant.item(),
-                applicant.customer(),
-                applicant.share(),
-                applicant.priority(),
-                applicant.deadlineMicros() - times.firstByteMicros(applicant.requestClass()),
-                times.costMicros(applicant.requestClass()));
+    private QueuedRequest<T> queuedRequest(AdmissionRequest<T> request) {
+        return new QueuedRequest<>(
+                request.item(),
+                request.customer(),
+                request.share(),
+                request.priority(),
+                request.deadlineMicros() - serviceTimes.firstByteMicros(request.requestClass()),
+                serviceTimes.costMicros(request.requestClass()));
     }
 
-    private Running<T> stop(T item) {
+    private Running<T> removeRunning(T item) {
         Running<T> ended = running.remove(item);
         if (awaitingFirstByte.remove(item)) {
-            firstBytes.left(ended.ticket().priority());
+            firstByteEstimator.onCancelled(ended.request().priority());
         }
-        if (ended != null && ended.ticket().priority() > limits.urgentPriority()) {
+        if (ended != null && ended.request().priority() > limits.urgentPriority()) {
             lessUrgentRunning--;
         }
         return ended;
     }
 
-    private long waitMicros(Ticket<T> newcomer, long nowMicros) {
-        if (running.size() < limits.slots() && line.size() == 0) {
+    private long waitMicros(QueuedRequest<T> newRequest, long nowMicros) {
+        if (running.size() < limits.slots() && queue.size() == 0) {
             return 0;
         }
-        int priority = newcomer.priority();
-        long same = line.workAheadMicros(newcomer) + times.costMicros();
-        return pace(priority, nowMicros).waitMicros(line.moreUrgentMicros(priority), same);
+        int priority = newRequest.priority();
+        long same = queue.workAheadMicros(newRequest) + serviceTimes.costMicros();
+        return serviceRate(priority, nowMicros).waitMicros(queue.moreUrgentWorkMicros(priority), same);
     }
 
-    private Pace pace(int priority, long nowMicros) {
-        double places = Math.max(1, limits.slots());
-        double passedOn = line.hasLessUrgent(priority) ? places / FairLine.PARTS : 0;
-        double left = places - passedOn - meter.placesBefore(priority, nowMicros);
-        return new Pace(left, places / Math.pow(FairLine.PARTS, line.moreUrgentLevels(priority)));
+    private ServiceRate serviceRate(int priority, long nowMicros) {
+        double slots = Math.max(1, limits.slots());
+        double guaranteedToLessUrgent = queue.hasLessUrgent(priority) ? slots / FairQueue.GUARANTEED_SHARE_DIVISOR : 0;
+        double available = slots - guaranteedToLessUrgent - loadMeter.slotsUsedByMoreUrgent(priority, nowMicros);
+        return new ServiceRate(
+                available, slots / Math.pow(FairQueue.GUARANTEED_SHARE_DIVISOR, queue.moreUrgentLevels(priority)));
     }
 
-    private record Running<T>(Ticket<T> ticket, String requestClass, long sinceMicros) {}
+    private record Running<T>(QueuedRequest<T> request, String requestClass, long startedMicros) {}
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Flow.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/Flow.java
@@ -5,18 +5,21 @@
 import org.rattanrudder.core.model.CustomerName;
 
 /**
- * The tickets of one customer at one priority, soonest deadline first.
+ * The queued requests of one customer at one priority, by the time at which they must start.
  *
- * @param <T> the type of what waits
+ * @param <T> the type of a request's identifier
  */
 final class Flow<T> {
-    /** Tags are costs in microseconds times this, divided by the share, so that small costs keep their precision. */
+    /**
+     * Virtual time is the cost in microseconds times this, divided by the share, so that small costs keep their
+     * precision.
+     */
     private static final long SCALE = 1_024;
 
     private final CustomerName customer;
-    private final TreeSet<Numbered<T>> tickets = new TreeSet<>(
-            Comparator.<Numbered<T>>comparingLong(each -> each.ticket().startByMicros())
-                    .thenComparingLong(Numbered::number));
+    private final TreeSet<Sequenced<T>> requests = new TreeSet<>(
+            Comparator.<Sequenced<T>>comparingLong(each -> each.request().startByMicros())
+                    .thenComparingLong(Sequenced::sequence));
     private long tag;
     private long workMicros;
     private int share = 1;
@@ -26,63 +29,63 @@
     }
 
     /**
-     * A ticket and its place in the order of arrival.
+     * A request with its position in the order of arrival.
      *
-     * @param ticket the ticket
-     * @param number counts up
+     * @param request the request
+     * @param sequence increases with each arrival
      */
-    record Numbered<T>(Ticket<T> ticket, long number) {}
+    record Sequenced<T>(QueuedRequest<T> request, long sequence) {}
 
-    /** Returns the length on the scale of virtual time that a cost has for a customer with this share. */
-    static long span(long costMicros, int share) {
+    /** Returns by how much virtual time advances for this cost of a customer with this share. */
+    static long toVirtualTime(long costMicros, int share) {
         return costMicros * SCALE / share;
     }
 
-    /** Returns the cost in microseconds that has this length on the scale of virtual time. */
-    static long cost(long span, int share) {
-        return span * share / SCALE;
+    /** Returns the cost in microseconds that corresponds to this much virtual time. */
+    static long toCostMicros(long virtualTime, int share) {
+        return virtualTime * share / SCALE;
     }
 
-    /** Returns the virtual time at which its next ticket starts: the flow with the least goes first. */
+    /** Returns the virtual time at which its next request starts. The flow with the lowest tag is served first. */
     long tag() {
         return tag;
     }
 
-    void tag(long newTag) {
+    void setTag(long newTag) {
         tag = newTag;
     }
 
-    /** Returns the customer's name, which decides between flows that are equal otherwise. */
+    /** Returns the customer's name, which breaks ties between flows. */
     String name() {
         return customer.value();
     }
 
-    void add(Numbered<T> numbered) {
-        tickets.add(numbered);
-        workMicros += numbered.ticket().costMicros();
-        share = numbered.ticket().share();
+    void add(Sequenced<T> sequenced) {
+        requests.add(sequenced);
+        workMicros += sequenced.request().costMicros();
+        share = sequenced.request().share();
     }
 
-    void remove(Numbered<T> numbered) {
-        if (tickets.remove(numbered)) {
-            workMicros -= numbered.ticket().costMicros();
+    void remove(Sequenced<T> sequenced) {
+        if (requests.remove(sequenced)) {
+            workMicros -= sequenced.request().costMicros();
         }
     }
 
-    Numbered<T> first() {
-        return tickets.first();
+    Sequenced<T> first() {
+        return requests.first();
     }
 
-    Numbered<T> last() {
-        return tickets.last();
+    Sequenced<T> last() {
+        return requests.last();
     }
 
-    Iterable<Numbered<T>> tickets() {
-        return tickets;
+    Iterable<Sequenced<T>> requests() {
+        return requests;
     }
 
     boolean isEmpty() {
-        return tickets.isEmpty();
+        return requests.isEmpty();
     }
 
     int share() {
@@ -93,8 +96,8 @@
         return workMicros;
     }
 
-    /** Returns its waiting work in proportion to its share. */
-    long burden() {
-        return span(workMicros, share);
+    /** Returns its queued work in proportion to its share. */
+    long weightedWork() {
+        return toVirtualTime(workMicros, share);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Who goes first at a target: priority, deadlines, fair shares between customers, and refusal when that is known. */
+/** Admission control of a target: priorities, deadlines, fair shares between customers, and early refusal. */
 package org.rattanrudder.core.admission;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/FairAdmissionTest.java
@@ -16,38 +16,38 @@
     private static final long SECOND = 1_000_000;
 
     @Property(seed = "31", tries = 200)
-    void neverRunsOrQueuesMoreThanItsLimitsAndForgetsNothing(
+    void staysWithinItsLimitsAndLosesNoRequest(
             @ForAll long randomSeed,
-            @ForAll @IntRange(min = 1, max = 9) int places,
+            @ForAll @IntRange(min = 1, max = 9) int slots,
             @ForAll @IntRange(min = 1, max = 20) int queueLength) {
         Random random = new Random(randomSeed);
-        AdmissionLimits limits = AdmissionLimits.of(places, 0, queueLength);
+        AdmissionLimits limits = AdmissionLimits.of(slots, 0, queueLength);
         FairAdmission<Integer> admission = new FairAdmission<>(limits);
         List<Integer> running = new ArrayList<>();
-        int inside = 0;
+        int admitted = 0;
         long now = 0;
         for (int step = 0; step < 200; step++) {
             now += random.nextInt(100_000);
-            AdmissionRequest<Integer> applicant = check(step, random.nextInt(3), now + random.nextInt(2_000_000));
-            if (admission.offer(applicant, now) instanceof Admission.Queued<Integer> queued) {
-                inside += queued.evicted().isPresent() ? 0 : 1;
+            AdmissionRequest<Integer> request = check(step, random.nextInt(3), now + random.nextInt(2_000_000));
+            if (admission.offer(request, now) instanceof Admission.Queued<Integer> queued) {
+                admitted += queued.evicted().isPresent() ? 0 : 1;
             }
             while (random.nextBoolean()) {
                 admission.startNext(now).ifPresent(running::add);
             }
             if (!running.isEmpty() && random.nextBoolean()) {
                 admission.onFinished(running.remove(0), now);
-                inside--;
+                admitted--;
             }
-            inside -= admission.removeLate(now).size();
-            assertThat(admission.runningCount()).isEqualTo(running.size()).isLessThanOrEqualTo(places);
+            admitted -= admission.removeLate(now).size();
+            assertThat(admission.runningCount()).isEqualTo(running.size()).isLessThanOrEqualTo(slots);
             assertThat(admission.queuedCount()).isLessThanOrEqualTo(queueLength);
-            assertThat(admission.runningCount() + admission.queuedCount()).isEqualTo(inside);
+            assertThat(admission.runningCount() + admission.queuedCount()).isEqualTo(admitted);
         }
     }
 
     @Test
-    void refusesOnArrivalWhatCannotStartInTime() {
+    void refusesARequestOnArrivalIfItCannotStartInTime() {
         FairAdmission<Integer> admission = measured(1, SECOND);
         for (int item = 1; item <= 3; item++) {
             assertThat(admission.offer(check(item, 0, 10 * SECOND), SECOND)).isInstanceOf(Admission.Queued.class);
@@ -58,11 +58,11 @@
     }
 
     /**
-     * A clerk waits until the deadline has passed to be told "busy": the target became slow after the check was queued,
-     * and nobody looked at the queue again before its turn.
+     * Callers would be refused only after their deadline: the target became slow after a check was queued, and the
+     * queue was not checked again before the check's turn.
      */
     @Test
-    void refusesWhileQueuedAsSoonAsTheTargetIsKnownToBeTooSlow() {
+    void removesQueuedRequestsAsSoonAsTheTargetIsKnownToBeTooSlow() {
         FairAdmission<Integer> admission = measured(1, SECOND / 10);
         for (int item = 1; item <= 18; item++) {
             admission.offer(check(item, 0, 5 * SECOND), SECOND);
@@ -76,11 +76,11 @@
     }
 
     /**
-     * A target refuses every check for good, though it is idle: one request was measured in a bad moment, the estimate
-     * says that no deadline can be met, and since all are refused nothing is ever measured again.
+     * An idle target would refuse every check forever: one unusually slow measurement says that no deadline can be
+     * met, and without new requests nothing is measured again.
      */
     @Test
-    void aRequestThatCanStartNowIsTriedWhateverWasMeasured() {
+    void aRequestThatCanStartNowIsAdmittedWhateverTheEstimate() {
         FairAdmission<Integer> admission = measured(1, 100 * SECOND);
 
         assertThat(admission.offer(check(1, 0, 2 * SECOND), SECOND)).isInstanceOf(Admission.Queued.class);
@@ -88,10 +88,11 @@
     }
 
     /**
-     * An alarm waits half a minute: every place is taken by an inspection summary, and none is interrupted.
+     * An alarm would wait half a minute if every slot could be taken by inspection summaries, which aren't
+     * interrupted.
      */
     @Test
-    void summariesLeaveAPlaceForAlarms() {
+    void lessUrgentRequestsLeaveASlotForUrgentOnes() {
         FairAdmission<Integer> admission = new FairAdmission<>(AdmissionLimits.of(8, 0, 100));
         for (int item = 0; item < 20; item++) {
             admission.offer(check(item, 5, 1_000 * SECOND), 0);
@@ -103,8 +104,8 @@
         assertThat(admission.startNext(0)).contains(99);
     }
 
-    private static FairAdmission<Integer> measured(int places, long heldMicros) {
-        FairAdmission<Integer> admission = new FairAdmission<>(AdmissionLimits.of(places, 0, 100));
+    private static FairAdmission<Integer> measured(int slots, long heldMicros) {
+        FairAdmission<Integer> admission = new FairAdmission<>(AdmissionLimits.of(slots, 0, 100));
         admission.offer(check(-1, 0, Long.MAX_VALUE / 2), 0);
         admission.startNext(0);
         admission.onFirstByte(-1, heldMicros);
@@ -112,7 +113,7 @@
         return admission;
     }
 
-    private static AdmissionRequest<Integer> check(int item, int priority, long dueMicros) {
-        return new AdmissionRequest<>(item, DEPOT, 1, priority == 0 ? "check" : "audit", priority, dueMicros);
+    private static AdmissionRequest<Integer> check(int item, int priority, long deadlineMicros) {
+        return new AdmissionRequest<>(item, DEPOT, 1, priority == 0 ? "check" : "audit", priority, deadlineMicros);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/NaiveLine.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/NaiveQueue.java
@@ -8,69 +8,70 @@
 import java.util.Optional;
 import org.rattanrudder.core.model.CustomerName;
 
-/** The fair line's rules, written down in the plainest way: one flat list, gone through from end to end each time. */
-final class NaiveLine {
+/** The rules of {@link FairQueue} in the simplest form: one flat list that is scanned each time. */
+final class NaiveQueue {
     private final int capacity;
-    private final List<Ticket<Integer>> waiting = new ArrayList<>();
+    private final List<QueuedRequest<Integer>> waiting = new ArrayList<>();
     private final Map<Integer, Long> virtualTimes = new HashMap<>();
     private final Map<Integer, Long> served = new HashMap<>();
     private final Map<Integer, Map<CustomerName, Long>> tags = new HashMap<>();
 
-    NaiveLine(int capacity) {
+    NaiveQueue(int capacity) {
         this.capacity = capacity;
     }
 
-    Optional<Integer> add(Ticket<Integer> ticket) {
-        int priority = ticket.priority();
-        if (of(priority, ticket.customer()).isEmpty()) {
-            long tag = Math.max(tagsAt(priority).getOrDefault(ticket.customer(), 0L), virtualTimeAt(priority));
-            tagsAt(priority).put(ticket.customer(), tag);
+    Optional<Integer> add(QueuedRequest<Integer> request) {
+        int priority = request.priority();
+        if (of(priority, request.customer()).isEmpty()) {
+            long tag = Math.max(tagsAt(priority).getOrDefault(request.customer(), 0L), virtualTimeAt(priority));
+            tagsAt(priority).put(request.customer(), tag);
         }
-        waiting.add(ticket);
+        waiting.add(request);
         if (waiting.size() <= capacity) {
             return Optional.empty();
         }
-        int cut = priorityToCut(priority);
-        CustomerName heaviest = customersAt(cut).stream()
-                .max(Comparator.<CustomerName>comparingLong(each -> burden(cut, each))
+        int evictFrom = priorityToEvictFrom(priority);
+        CustomerName heaviest = customersAt(evictFrom).stream()
+                .max(Comparator.<CustomerName>comparingLong(each -> weightedWork(evictFrom, each))
                         .thenComparing(CustomerName::value))
                 .orElseThrow();
-        List<Ticket<Integer>> tickets = of(cut, heaviest);
-        Ticket<Integer> victim = tickets.get(tickets.size() - 1);
-        takeOut(victim);
-        return Optional.of(victim.item());
+        List<QueuedRequest<Integer>> requests = of(evictFrom, heaviest);
+        QueuedRequest<Integer> evicted = requests.get(requests.size() - 1);
+        removeRequest(evicted);
+        return Optional.of(evicted.item());
     }
 
-    Optional<Integer> next(int leastUrgent) {
+    Optional<Integer> next(int maxPriority) {
         List<Integer> priorities = waiting.stream()
-                .map(Ticket::priority)
-                .filter(each -> each <= leastUrgent)
+                .map(QueuedRequest::priority)
+                .filter(each -> each <= maxPriority)
                 .distinct()
                 .sorted()
                 .toList();
-        for (int place = 0; place < priorities.size(); place++) {
-            int priority = priorities.get(place);
-            if (place + 1 == priorities.size()) {
+        for (int index = 0; index < priorities.size(); index++) {
+            int priority = priorities.get(index);
+            if (index + 1 == priorities.size()) {
                 if (waiting.stream().noneMatch(each -> each.priority() > priority)) {
                     served.remove(priority);
                 }
                 return Optional.of(serve(priority));
             }
-            long price = (FairLine.PARTS - 1) * head(priorities.get(place + 1)).costMicros();
-            long had = served.getOrDefault(priority, 0L);
-            if (had < price) {
-                served.put(priority, had + head(priority).costMicros());
+            long guaranteedCost = (FairQueue.GUARANTEED_SHARE_DIVISOR - 1)
+                    * head(priorities.get(index + 1)).costMicros();
+            long received = served.getOrDefault(priority, 0L);
+            if (received < guaranteedCost) {
+                served.put(priority, received + head(priority).costMicros());
                 return Optional.of(serve(priority));
             }
-            served.put(priority, had - price);
+            served.put(priority, received - guaranteedCost);
         }
         return Optional.empty();
     }
 
     boolean remove(int item) {
-        Optional<Ticket<Integer>> found =
+        Optional<QueuedRequest<Integer>> found =
                 waiting.stream().filter(each -> each.item() == item).findFirst();
-        found.ifPresent(this::takeOut);
+        found.ifPresent(this::removeRequest);
         return found.isPresent();
     }
 
@@ -79,15 +80,15 @@
     }
 
     private int serve(int priority) {
-        Ticket<Integer> ticket = head(priority);
-        long tag = tagsAt(priority).get(ticket.customer());
+        QueuedRequest<Integer> request = head(priority);
+        long tag = tagsAt(priority).get(request.customer());
         virtualTimes.put(priority, Math.max(virtualTimeAt(priority), tag));
-        tagsAt(priority).put(ticket.customer(), tag + Flow.span(ticket.costMicros(), ticket.share()));
-        takeOut(ticket);
-        return ticket.item();
+        tagsAt(priority).put(request.customer(), tag + Flow.toVirtualTime(request.costMicros(), request.share()));
+        removeRequest(request);
+        return request.item();
     }
 
-    private Ticket<Integer> head(int priority) {
+    private QueuedRequest<Integer> head(int priority) {
         CustomerName first = customersAt(priority).stream()
                 .min(Comparator.<CustomerName>comparingLong(
                                 each -> tagsAt(priority).get(each))
@@ -96,28 +97,28 @@
         return of(priority, first).get(0);
     }
 
-    private void takeOut(Ticket<Integer> ticket) {
-        waiting.remove(ticket);
-        int priority = ticket.priority();
+    private void removeRequest(QueuedRequest<Integer> request) {
+        waiting.remove(request);
+        int priority = request.priority();
         if (waiting.stream().noneMatch(each -> each.priority() == priority)) {
             virtualTimes.remove(priority);
             tags.remove(priority);
         }
     }
 
-    private int priorityToCut(int newcomer) {
-        int guaranteed = Math.max(1, capacity / FairLine.PARTS);
+    private int priorityToEvictFrom(int newPriority) {
+        int guaranteed = Math.max(1, capacity / FairQueue.GUARANTEED_SHARE_DIVISOR);
         List<Integer> priorities = waiting.stream()
-                .map(Ticket::priority)
+                .map(QueuedRequest::priority)
                 .distinct()
                 .sorted(Comparator.reverseOrder())
                 .toList();
         for (int priority : priorities) {
-            if (priority >= newcomer && countAt(priority) > guaranteed) {
+            if (priority >= newPriority && countAt(priority) > guaranteed) {
                 return priority;
             }
         }
-        int longest = newcomer;
+        int longest = newPriority;
         for (int priority : priorities) {
             longest = countAt(priority) > countAt(longest) ? priority : longest;
         }
@@ -131,22 +132,22 @@
     private List<CustomerName> customersAt(int priority) {
         return waiting.stream()
                 .filter(each -> each.priority() == priority)
-                .map(Ticket::customer)
+                .map(QueuedRequest::customer)
                 .distinct()
                 .toList();
     }
 
-    private List<Ticket<Integer>> of(int priority, CustomerName customer) {
+    private List<QueuedRequest<Integer>> of(int priority, CustomerName customer) {
         return waiting.stream()
                 .filter(each -> each.priority() == priority && each.customer().equals(customer))
-                .sorted(Comparator.comparingLong(Ticket::startByMicros))
+                .sorted(Comparator.comparingLong(QueuedRequest::startByMicros))
                 .toList();
     }
 
-    private long burden(int priority, CustomerName customer) {
-        List<Ticket<Integer>> tickets = of(priority, customer);
-        long work = tickets.stream().mapToLong(Ticket::costMicros).sum();
-        return Flow.span(work, tickets.get(0).share());
+    private long weightedWork(int priority, CustomerName customer) {
+        List<QueuedRequest<Integer>> requests = of(priority, customer);
+        long work = requests.stream().mapToLong(QueuedRequest::costMicros).sum();
+        return Flow.toVirtualTime(work, requests.get(0).share());
     }
 
     private long virtualTimeAt(int priority) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/OneAtATimeEngineTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/admission/SequentialEngineAdmissionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.rattanrudder.core.model.CustomerName;
 
-class OneAtATimeEngineTest {
+class SequentialEngineAdmissionTest {
     private static final long SECOND = 1_000_000;
     private static final long STEP = 10_000;
     private static final long COMPUTE = 300_000;
@@ -19,7 +19,7 @@
     private static final long DEADLINE = 10 * SECOND;
 
     private final FairAdmission<Integer> admission = new FairAdmission<>(AdmissionLimits.of(16, 0, 64));
-    private final Queue<Integer> inside = new ArrayDeque<>();
+    private final Queue<Integer> uncomputed = new ArrayDeque<>();
     private final List<Long> arrivals = new ArrayList<>();
     private final Queue<Integer> decoding = new ArrayDeque<>();
     private final Queue<Long> decodedAt = new ArrayDeque<>();
@@ -30,12 +30,12 @@
     private long computedAt;
 
     /**
-     * A clerk is told "busy" after eight seconds, or never told at all. The engine has 16 places but computes a prompt
-     * at a time, so that a prompt's first byte comes later the more are inside. Admission learnt times from the first
-     * prompts, which met an empty engine, kept them for all that came meanwhile, and found out when they were late.
+     * Callers would be refused after eight seconds or not at all. The engine has 16 slots but computes one prompt at
+     * a time, so a prompt's first byte arrives later the more prompts have started. Estimates from the first
+     * prompts, which met an idle engine, are too low for all later ones.
      */
     @Test
-    void refusesAtOnceAndStartsNothingThatIsLateAtThreeTimesWhatTheEngineComputes() {
+    void refusesOnArrivalAndAnswersNothingLateAtThreeTimesTheEnginesCapacity() {
         Random random = new Random(20261202);
         double next = 0;
         for (long now = 0; now < 60 * SECOND; now += STEP) {
@@ -47,7 +47,7 @@
             if (now % 50_000 == 0) {
                 refusedLate += admission.removeLate(now).size();
             }
-            fill(now);
+            startAll(now);
         }
         SoftAssertions.assertSoftly(softly -> {
             softly.assertThat(answeredInTime).as("answered in time").isGreaterThan(170);
@@ -59,11 +59,11 @@
     }
 
     /**
-     * After a bad minute an engine is fast again, and bursts are still refused: the rate of the bad minute lets no one
-     * wait, and only while someone waited would it be measured anew.
+     * After a slow minute an engine is fast again, but bursts would still be refused: at the rate of that minute no
+     * request may be queued, and the rate is measured anew only while requests are queued.
      */
     @Test
-    void takesOnWhatWaitsOnceASlowEngineIsFastAgain() {
+    void queuesRequestsAgainOnceASlowEngineHasRecovered() {
         FairAdmission<Integer> small = new FairAdmission<>(AdmissionLimits.of(2, 0, 64));
         long now = 0;
         for (int item = 0; item < 12; item++) {
@@ -92,27 +92,27 @@
         return now + micros;
     }
 
-    private static AdmissionRequest<Integer> check(int item, long dueMicros) {
-        return new AdmissionRequest<>(item, new CustomerName("depo"), 1, "check", 0, dueMicros);
+    private static AdmissionRequest<Integer> check(int item, long deadlineMicros) {
+        return new AdmissionRequest<>(item, new CustomerName("depo"), 1, "check", 0, deadlineMicros);
     }
 
     private void arrive(long now) {
         int item = arrivals.size();
         arrivals.add(now);
         CustomerName customer = new CustomerName("depo-" + item % 3);
-        AdmissionRequest<Integer> applicant =
+        AdmissionRequest<Integer> request =
                 new AdmissionRequest<>(item, customer, item % 3 == 0 ? 40 : 30, "check", 0, now + DEADLINE);
-        if (admission.offer(applicant, now) instanceof Admission.Queued<Integer> queued) {
+        if (admission.offer(request, now) instanceof Admission.Queued<Integer> queued) {
             refusedLate += queued.evicted().isPresent() ? 1 : 0;
         } else {
             refusedAtOnce++;
         }
-        fill(now);
+        startAll(now);
     }
 
     private void compute(long now) {
-        if (!inside.isEmpty() && now >= computedAt) {
-            int item = inside.remove();
+        if (!uncomputed.isEmpty() && now >= computedAt) {
+            int item = uncomputed.remove();
             admission.onFirstByte(item, now);
             answeredInTime += now - arrivals.get(item) <= DEADLINE ? 1 : 0;
             answeredLate += now - arrivals.get(item) > DEADLINE ? 1 : 0;
@@ -126,11 +126,11 @@
         }
     }
 
-    private void fill(long now) {
+    private void startAll(long now) {
         admission.startNext(now).ifPresent(item -> {
-            computedAt = inside.isEmpty() ? Math.max(computedAt, now + COMPUTE) : computedAt;
-            inside.add(item);
-            fill(now);
+            computedAt = uncomputed.isEmpty() ? Math.max(computedAt, now + COMPUTE) : computedAt;
+            uncomputed.add(item);
+            startAll(now);
         });
     }
 }
