--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockCatalog.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockCatalog.java
@@ -4,81 +4,81 @@
 import org.rattanrudder.core.model.Digest;
 
 /**
- * What is believed of the blocks that a target has met: whether its engine holds them, which store does, and how often
- * they return. Only hints: a wrong one costs time, never a wrong answer.
+ * The hints that are kept on the blocks of one target's prompts: whether the engine holds a block, which store does,
+ * and how often it is reused. A wrong hint costs time but never causes a wrong answer.
  *
- * <p>A hash table with open addressing over plain arrays, {@value #BYTES_PER_SLOT} bytes a slot, which grows to a
- * bound. At the bound the least valuable of a few neighbours makes room; a block that a store is believed to hold
- * doesn't, since nobody would be left to free it there.
+ * <p>An open-addressing hash table over primitive arrays, {@value #BYTES_PER_SLOT} bytes a slot, that grows up to a
+ * maximum size. At the maximum, the least valuable of a few neighbouring slots is evicted. A block that a store is
+ * assumed to hold isn't evicted, since then no process would ever free it in the store.
  */
 final class BlockCatalog {
     static final int BYTES_PER_SLOT = 4 * Long.BYTES + Integer.BYTES + Float.BYTES + Short.BYTES + 3;
-    /** Sights closer together than this are one sight: the engine's own cache serves them. */
-    static final int SAME_SIGHT_SECONDS = 60;
-    /** How many neighbours are compared when one must make room. */
-    static final int COMPARED = 32;
+    /** Uses closer together than this count as one: the engine's own cache serves the later ones. */
+    static final int SAME_USE_SECONDS = 60;
+    /** How many slots are compared to choose one to evict. */
+    static final int SAMPLE_SIZE = 32;
 
-    private static final int SMALLEST = 64;
-    private static final int WORDS = 4;
+    private static final int MIN_SLOTS = 64;
+    private static final int WORDS_PER_DIGEST = 4;
     private static final byte OCCUPIED = 1;
     private static final byte HELD = 2;
     private static final double NEWEST_GAP_WEIGHT = 0.3;
 
-    private final KeepValue keepValue;
+    private final RetentionScore retentionScore;
     private final RandomGenerator random;
-    private final int largest;
+    private final int maxSlots;
     private long[] words;
-    private int[] lastSeconds;
+    private int[] lastUseSeconds;
     private float[] gapSeconds;
-    private short[] sights;
+    private short[] uses;
     private byte[] flags;
     private byte[] stores;
     private byte[] depths;
     private int size;
-    private int stored;
+    private int storedCount;
 
-    BlockCatalog(int blocks, KeepValue keepValue, RandomGenerator random) {
-        this.keepValue = keepValue;
+    BlockCatalog(int maxBlocks, RetentionScore retentionScore, RandomGenerator random) {
+        this.retentionScore = retentionScore;
         this.random = random;
-        this.largest = Math.max(SMALLEST, Integer.highestOneBit(Math.max(1, blocks)) * 2);
-        allocate(SMALLEST);
+        this.maxSlots = Math.max(MIN_SLOTS, Integer.highestOneBit(Math.max(1, maxBlocks)) * 2);
+        allocate(MIN_SLOTS);
     }
 
-    /** Notes that a prompt asks for the block. */
-    void see(Digest block, int depth, long nowMicros) {
+    /** Records that a prompt uses the block. */
+    void recordUse(Digest block, int depth, long nowMicros) {
         int slot = findOrAdd(block, nowMicros);
         if (slot < 0) {
             return;
         }
         int now = seconds(nowMicros);
-        int gap = now - lastSeconds[slot];
+        int gap = now - lastUseSeconds[slot];
         depths[slot] = (byte) Math.min(depth, Byte.MAX_VALUE);
-        lastSeconds[slot] = now;
-        if (sights[slot] == 0) {
-            sights[slot] = 1;
-        } else if (gap >= SAME_SIGHT_SECONDS) {
-            gapSeconds[slot] = sights[slot] == 1 ? gap : (float) mix(gapSeconds[slot], gap);
-            sights[slot] = (short) Math.min(sights[slot] + 1, Short.MAX_VALUE);
+        lastUseSeconds[slot] = now;
+        if (uses[slot] == 0) {
+            uses[slot] = 1;
+        } else if (gap >= SAME_USE_SECONDS) {
+            gapSeconds[slot] = uses[slot] == 1 ? gap : (float) smooth(gapSeconds[slot], gap);
+            uses[slot] = (short) Math.min(uses[slot] + 1, Short.MAX_VALUE);
         }
     }
 
-    /** Returns how often the block was asked for after a gap. */
-    int sights(Digest block) {
+    /** Returns how often the block was used, without repetitions within {@link #SAME_USE_SECONDS}. */
+    int uses(Digest block) {
         int slot = find(block);
-        return slot < 0 ? 0 : sights[slot];
+        return slot < 0 ? 0 : uses[slot];
     }
 
-    /** Returns the block's value to a store. */
+    /** Returns the retention score of the block. */
     double value(Digest block, long nowMicros) {
         int slot = find(block);
         return slot < 0 ? 0 : valueAt(slot, nowMicros);
     }
 
-    /** Returns whether a block was asked for later than another. */
-    boolean isUsedSince(Digest block, Digest other) {
+    /** Returns whether a block was last used later than another. */
+    boolean isUsedAfter(Digest block, Digest other) {
         int slot = find(block);
         int otherSlot = find(other);
-        return slot >= 0 && otherSlot >= 0 && lastSeconds[slot] > lastSeconds[otherSlot];
+        return slot >= 0 && otherSlot >= 0 && lastUseSeconds[slot] > lastUseSeconds[otherSlot];
     }
 
     boolean isHeld(Digest block) {
@@ -93,14 +93,14 @@
         }
     }
 
-    /** Drops every hint that the engine holds a block. */
-    void forgetHeld() {
+    /** Clears all hints that the engine holds a block. */
+    void clearAllHeld() {
         for (int slot = 0; slot < flags.length; slot++) {
             flags[slot] &= ~HELD;
         }
     }
 
-    /** Returns the index of the store that is believed to hold the block, or -1. */
+    /** Returns the index of the store that is assumed to hold the block, or -1. */
     int store(Digest block) {
         int slot = find(block);
         return slot < 0 ? -1 : stores[slot] - 1;
@@ -109,7 +109,7 @@
     void setStore(Digest block, int store, long nowMicros) {
         int slot = findOrAdd(block, nowMicros);
         if (slot >= 0) {
-            stored += stores[slot] == 0 ? 1 : 0;
+            storedCount += stores[slot] == 0 ? 1 : 0;
             stores[slot] = (byte) (store + 1);
         }
     }
@@ -118,34 +118,37 @@
         int slot = find(block);
         if (slot >= 0 && stores[slot] == store + 1) {
             stores[slot] = 0;
-            stored--;
+            storedCount--;
         }
     }
 
-    /** Drops every hint that the store holds a block; all stores for -1. */
-    void forgetStore(int store) {
+    /** Clears all hints that the store holds a block; those of all stores for -1. */
+    void clearAllStored(int store) {
         for (int slot = 0; slot < stores.length; slot++) {
             if (stores[slot] != 0 && (store < 0 || stores[slot] == store + 1)) {
                 stores[slot] = 0;
-                stored--;
+                storedCount--;
             }
         }
     }
 
-    /** Returns whether another stored block can be remembered without running out of room for new ones. */
+    /** Returns whether one more stored block can be kept with enough slots left for new blocks. */
     boolean hasRoomForStored() {
-        return stored < largest / 2;
+        return storedCount < maxSlots / 2;
     }
 
-    /** Returns the least valuable of some blocks that the store is believed to hold, or null if none is known. */
+    /**
+     * Returns the least valuable of a sample of the blocks that the store is assumed to hold, or null if there is
+     * none.
+     */
     Digest leastValuable(int store, long nowMicros) {
         int start = random.nextInt(flags.length);
         int worst = -1;
         int compared = 0;
-        for (int step = 0; step < flags.length && compared < COMPARED; step++) {
+        for (int step = 0; step < flags.length && compared < SAMPLE_SIZE; step++) {
             int slot = (start + step) & (flags.length - 1);
             if (stores[slot] == store + 1) {
-                worst = worst < 0 || isWorse(slot, worst, nowMicros) ? slot : worst;
+                worst = worst < 0 || isLessValuable(slot, worst, nowMicros) ? slot : worst;
                 compared++;
             }
         }
@@ -160,18 +163,21 @@
         return (long) flags.length * BYTES_PER_SLOT;
     }
 
-    /** A block is useless without those before it, so of two with the same value the deeper goes first. */
-    private boolean isWorse(int slot, int other, long nowMicros) {
+    /**
+     * Compares by score, then by depth: a block can't be used without the blocks before it, so of two with the same
+     * score the deeper one is evicted first.
+     */
+    private boolean isLessValuable(int slot, int other, long nowMicros) {
         double value = valueAt(slot, nowMicros);
         double otherValue = valueAt(other, nowMicros);
         return value == otherValue ? depths[slot] > depths[other] : value < otherValue;
     }
 
     private double valueAt(int slot, long nowMicros) {
-        if (sights[slot] == 0) {
+        if (uses[slot] == 0) {
             return 0;
         }
-        return keepValue.of(sights[slot], gapSeconds[slot], seconds(nowMicros) - lastSeconds[slot]);
+        return retentionScore.of(uses[slot], gapSeconds[slot], seconds(nowMicros) - lastUseSeconds[slot]);
     }
 
     private int findOrAdd(Digest block, long nowMicros) {
@@ -184,23 +190,23 @@
         }
         slot = freeSlot(block);
         put(slot, block);
-        lastSeconds[slot] = seconds(nowMicros);
+        lastUseSeconds[slot] = seconds(nowMicros);
         size++;
         return slot;
     }
 
     private boolean makeRoom(long nowMicros) {
-        if (flags.length < largest) {
+        if (flags.length < maxSlots) {
             grow();
             return true;
         }
         int worst = -1;
         int start = random.nextInt(flags.length);
         int compared = 0;
-        for (int step = 0; step < flags.length && compared < COMPARED; step++) {
+        for (int step = 0; step < flags.length && compared < SAMPLE_SIZE; step++) {
             int slot = (start + step) & (flags.length - 1);
             if (flags[slot] != 0 && stores[slot] == 0) {
-                worst = worst < 0 || isWorse(slot, worst, nowMicros) ? slot : worst;
+                worst = worst < 0 || isLessValuable(slot, worst, nowMicros) ? slot : worst;
                 compared++;
             }
         }
@@ -211,7 +217,7 @@
     }
 
     private int find(Digest block) {
-        int slot = home(block.first());
+        int slot = homeSlot(block.first());
         while (flags[slot] != 0) {
             if (isAt(slot, block)) {
                 return slot;
@@ -222,14 +228,14 @@
     }
 
     private int freeSlot(Digest block) {
-        int slot = home(block.first());
+        int slot = homeSlot(block.first());
         while (flags[slot] != 0) {
             slot = (slot + 1) & (flags.length - 1);
         }
         return slot;
     }
 
-    /** Takes an entry out and moves up those behind it that could no longer be found across the hole. */
+    /** Empties a slot and moves back the following blocks that a probe could no longer reach across the gap. */
     private void remove(int removed) {
         int hole = removed;
         int slot = hole;
@@ -237,29 +243,29 @@
         while (true) {
             flags[hole] = 0;
             stores[hole] = 0;
-            sights[hole] = 0;
+            uses[hole] = 0;
             gapSeconds[hole] = 0;
             do {
                 slot = (slot + 1) & (flags.length - 1);
                 if (flags[slot] == 0) {
                     return;
                 }
-            } while (isBetween(hole, home(words[WORDS * slot]), slot));
+            } while (isBetween(hole, homeSlot(words[WORDS_PER_DIGEST * slot]), slot));
             copy(slot, hole);
             hole = slot;
         }
     }
 
-    /** Returns whether home lies after the hole and not after the slot, going round. */
+    /** Returns whether the home slot lies after the hole and not after the slot, with wrap-around. */
     private static boolean isBetween(int hole, int home, int slot) {
         return hole <= slot ? hole < home && home <= slot : hole < home || home <= slot;
     }
 
     private void copy(int from, int to) {
-        System.arraycopy(words, WORDS * from, words, WORDS * to, WORDS);
-        lastSeconds[to] = lastSeconds[from];
+        System.arraycopy(words, WORDS_PER_DIGEST * from, words, WORDS_PER_DIGEST * to, WORDS_PER_DIGEST);
+        lastUseSeconds[to] = lastUseSeconds[from];
         gapSeconds[to] = gapSeconds[from];
-        sights[to] = sights[from];
+        uses[to] = uses[from];
         flags[to] = flags[from];
         stores[to] = stores[from];
         depths[to] = depths[from];
@@ -267,9 +273,9 @@
 
     private void grow() {
         long[] oldWords = words;
-        int[] oldLast = lastSeconds;
+        int[] oldLastUse = lastUseSeconds;
         float[] oldGaps = gapSeconds;
-        short[] oldSights = sights;
+        short[] oldUses = uses;
         byte[] oldFlags = flags;
         byte[] oldStores = stores;
         byte[] oldDepths = depths;
@@ -281,9 +287,9 @@
             Digest block = digestAt(oldWords, old);
             int slot = freeSlot(block);
             put(slot, block);
-            lastSeconds[slot] = oldLast[old];
+            lastUseSeconds[slot] = oldLastUse[old];
             gapSeconds[slot] = oldGaps[old];
-            sights[slot] = oldSights[old];
+            uses[slot] = oldUses[old];
             flags[slot] = oldFlags[old];
             stores[slot] = oldStores[old];
             depths[slot] = oldDepths[old];
@@ -291,28 +297,28 @@
     }
 
     private void allocate(int slots) {
-        words = new long[WORDS * slots];
-        lastSeconds = new int[slots];
+        words = new long[WORDS_PER_DIGEST * slots];
+        lastUseSeconds = new int[slots];
         gapSeconds = new float[slots];
-        sights = new short[slots];
+        uses = new short[slots];
         flags = new byte[slots];
         stores = new byte[slots];
         depths = new byte[slots];
     }
 
     private void put(int slot, Digest block) {
-        words[WORDS * slot] = block.first();
-        words[WORDS * slot + 1] = block.second();
-        words[WORDS * slot + 2] = block.third();
-        words[WORDS * slot + 3] = block.fourth();
+        words[WORDS_PER_DIGEST * slot] = block.first();
+        words[WORDS_PER_DIGEST * slot + 1] = block.second();
+        words[WORDS_PER_DIGEST * slot + 2] = block.third();
+        words[WORDS_PER_DIGEST * slot + 3] = block.fourth();
         flags[slot] = OCCUPIED;
     }
 
     private boolean isAt(int slot, Digest block) {
-        return words[WORDS * slot] == block.first()
-                && words[WORDS * slot + 1] == block.second()
-                && words[WORDS * slot + 2] == block.third()
-                && words[WORDS * slot + 3] == block.fourth();
+        return words[WORDS_PER_DIGEST * slot] == block.first()
+                && words[WORDS_PER_DIGEST * slot + 1] == block.second()
+                && words[WORDS_PER_DIGEST * slot + 2] == block.third()
+                && words[WORDS_PER_DIGEST * slot + 3] == block.fourth();
     }
 
     private Digest digestAt(int slot) {
@@ -320,15 +326,15 @@
     }
 
     private static Digest digestAt(long[] words, int slot) {
-        int at = WORDS * slot;
+        int at = WORDS_PER_DIGEST * slot;
         return new Digest(words[at], words[at + 1], words[at + 2], words[at + 3]);
     }
 
-    private int home(long first) {
+    private int homeSlot(long first) {
         return (int) (first >>> 32) & (flags.length - 1);
     }
 
-    private static double mix(double mean, double newest) {
+    private static double smooth(double mean, double newest) {
         return mean + NEWEST_GAP_WEIGHT * (newest - mean);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockLocation.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockLocation.java
@@ -3,9 +3,9 @@
 import org.rattanrudder.core.companion.CompanionEvent.StoredBlock;
 
 /**
- * A committed block and the store that said so.
+ * A committed block and the store that reported it.
  *
- * @param block what the store said
+ * @param block the block as the store described it
  * @param store the store
  */
-record StoredAt(StoredBlock block, StoreLink store) {}
+record BlockLocation(StoredBlock block, StoreLink store) {}
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/BlockMover.java
@@ -14,24 +14,24 @@
 import org.rattanrudder.core.model.TargetName;
 
 /**
- * Brings context that returns after a gap back to a companion's engines, and keeps what is worth keeping in the stores.
+ * Fetches evicted context back into the engines of a companion's targets, and exports the blocks worth retaining to
+ * the stores.
  *
- * <p>Before a prompt goes to its engine, {@link #prepare} looks up the blocks that the engine lacks, and decides for
- * each whether to fetch it, to wait for a fetch that runs, or to let the engine compute it. The prompt may go when its
- * {@link ContextReady} is there, which comes within a bound whatever stores and links do. After a run, {@link
- * #onCompleted}
- * decides what to export. Nothing that it believes is trusted: a block is fetched only as a store described it a moment
- * ago, and the daemon checks it again.
+ * <p>Before a prompt is sent to its engine, {@link #prepare} looks up the blocks that the engine lacks, and decides
+ * for each whether to fetch it, to wait for a fetch in flight, or to let the engine compute it. The prompt may be
+ * sent once its {@link ContextReady} is returned, which happens within a bounded time whatever the state of stores
+ * and links. After a run, {@link #onCompleted} decides which blocks to export. Hints are never trusted: a block is
+ * fetched only as a store has just described it, and the daemon verifies it again.
  *
  * <pre>{@code
- * mover.serve(document, target, now);
+ * mover.updateTarget(document, target, now);
  * mover.prepare(prompt, now, effects).forEach(ready -> start(ready.attempt()));
  * mover.handle(event, now, effects).forEach(ready -> start(ready.attempt()));
- * mover.ended(prompt, weightVersion, prefillTokensPerSecond, now, effects);
+ * mover.onCompleted(prompt, weightVersion, prefillTokensPerSecond, now, effects);
  * }</pre>
  */
 public final class BlockMover {
-    /** How many blocks hints are kept of, for each target: at most 3 MB. */
+    /** The maximum number of blocks for which hints are kept, for each target: up to 3 MB. */
     public static final int MAX_CATALOG_BLOCKS = 1 << 15;
 
     private final MoverPolicy policy;
@@ -41,11 +41,11 @@
     private long lastNumber;
 
     /**
-     * Makes a mover without targets.
+     * Creates a mover without targets.
      *
      * @param policy how blocks are valued and placed
-     * @param catalogBlocks how many blocks to keep hints of, for each target
-     * @param random for jitter and samples
+     * @param catalogBlocks the maximum number of blocks for which hints are kept, for each target
+     * @param random for jitter and sampling
      */
     public BlockMover(MoverPolicy policy, int catalogBlocks, RandomGenerator random) {
         this.policy = policy;
@@ -53,26 +53,27 @@
         this.random = random;
     }
 
-    /** Takes up a target or a new document for it. */
+    /** Adds a target, or updates its document and settings. */
     public void updateTarget(ServiceDocument document, TargetSettings target, long nowMicros) {
         movers.computeIfAbsent(
                         target.name(),
                         name -> new TargetMover(target, policy, catalogBlocks, this::nextNumber, random, nowMicros))
-                .serve(document, target, nowMicros);
+                .update(document, target, nowMicros);
     }
 
-    /** Forgets a target; its prompts are abandoned. */
+    /** Removes a target and its pending prompts. */
     public void removeTarget(TargetName target) {
         movers.remove(target);
     }
 
     /**
-     * Begins to bring a prompt's context.
+     * Starts to prepare the context of a prompt.
      *
      * @param prompt the prompt
      * @param nowMicros the time
-     * @param effects takes lookups and moves
-     * @return the prompts that may go now, itself too if there is nothing to wait for; else {@link #handle} says so
+     * @param effects receives lookups and moves
+     * @return the prompts that may be sent now, including this one if it has nothing to wait for; otherwise {@link
+     *     #handle} returns it later
      */
     public List<ContextReady> prepare(ContextPrompt prompt, long nowMicros, Consumer<? super CompanionEffect> effects) {
         TargetMover mover = movers.get(prompt.target());
@@ -83,13 +84,13 @@
     }
 
     /**
-     * Takes the whole answer to a prompt: the engine now holds its blocks.
+     * Handles the complete answer to a prompt: the engine now holds its blocks.
      *
      * @param prompt the prompt
-     * @param weightVersion the one version that the engine named throughout the run; empty if it changed
-     * @param prefillTokensPerSecond measured speed of computing context; 0 if not yet known
+     * @param weightVersion the only weight version that the engine reported during the run; empty if it changed
+     * @param prefillTokensPerSecond the measured prefill speed; 0 if unknown
      * @param nowMicros the time
-     * @param effects takes exports
+     * @param effects receives exports
      */
     public void onCompleted(
             ContextPrompt prompt,
@@ -99,54 +100,54 @@
             Consumer<? super CompanionEffect> effects) {
         TargetMover mover = movers.get(prompt.target());
         if (mover != null) {
-            mover.ended(prompt, weightVersion, prefillTokensPerSecond, nowMicros, effects);
+            mover.onCompleted(prompt, weightVersion, prefillTokensPerSecond, nowMicros, effects);
         }
     }
 
-    /** Forgets a prompt that was cancelled or failed; none of its events follow. */
+    /** Removes a prompt that was cancelled or failed; it won't be returned as ready. */
     public void cancel(TargetName target, AttemptId attempt) {
         TargetMover mover = movers.get(target);
         if (mover != null) {
-            mover.abandon(attempt);
+            mover.cancel(attempt);
         }
     }
 
     /**
-     * Takes an event; those that don't concern it are ignored.
+     * Handles an event; events of other components are ignored.
      *
      * @param event what happened
      * @param nowMicros the time
-     * @param effects takes lookups, moves and drops
-     * @return the prompts that may go to their engines now
+     * @param effects receives lookups, moves and drops
+     * @return the prompts that may be sent to their engines now
      */
     public List<ContextReady> handle(CompanionEvent event, long nowMicros, Consumer<? super CompanionEffect> effects) {
         if (event instanceof CompanionEvent.CacheEventsReported reported) {
             TargetMover mover = movers.get(reported.target());
             if (mover != null) {
-                mover.cacheEvents(reported, nowMicros);
+                mover.onCacheEvents(reported, nowMicros);
             }
             return List.of();
         }
         List<ContextReady> ready = new ArrayList<>();
         for (TargetMover mover : movers.values()) {
             if (event instanceof CompanionEvent.BlockLookupEnded found) {
-                ready.addAll(mover.found(found, nowMicros, effects));
+                ready.addAll(mover.onLookupEnded(found, nowMicros, effects));
             } else if (event instanceof CompanionEvent.MoveEnded moved) {
-                ready.addAll(mover.moveEnded(moved, nowMicros, effects));
+                ready.addAll(mover.onMoveEnded(moved, nowMicros, effects));
             } else if (event instanceof CompanionEvent.Tick) {
-                ready.addAll(mover.tick(nowMicros, effects));
+                ready.addAll(mover.onTick(nowMicros, effects));
             }
         }
         return ready;
     }
 
-    /** Returns the measured speed of fetching context to a target in bytes a second; 0 if not yet known. */
+    /** Returns the measured speed of fetching context to a target in bytes per second; 0 if unknown. */
     public long fetchBytesPerSecond(TargetName target) {
         TargetMover mover = movers.get(target);
         return mover == null ? 0 : mover.fetchBytesPerSecond();
     }
 
-    /** Returns whether no prompt waits and no move runs or waits. */
+    /** Returns whether no prompt is pending and no move is queued or in flight. */
     public boolean isIdle() {
         return movers.values().stream().allMatch(TargetMover::isIdle);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/ContextPrompt.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/ContextPrompt.java
@@ -9,11 +9,11 @@
 import org.rattanrudder.core.model.TargetName;
 
 /**
- * A prompt whose context is to be brought to its target.
+ * A prompt whose context is to be fetched to its target.
  *
  * @param attempt the attempt
  * @param target the target that will run it
- * @param customer on whose behalf
+ * @param customer the customer on whose behalf it runs
  * @param service its service
  * @param weightVersion the weight version that it was admitted for
  * @param shape its length and pieces
@@ -27,7 +27,7 @@
         String weightVersion,
         PromptShape shape,
         long deadlineMicros) {
-    /** Returns the root of its block names, which is also the engine's cache salt. */
+    /** Returns the digest from which its block names are derived; it is also the engine's cache salt. */
     public Digest root() {
         return Digest.of(customer.value(), service.value(), weightVersion);
     }
@@ -35,9 +35,9 @@
     /**
      * Returns the names of its blocks.
      *
-     * <p>Guards against context of another customer, service or weight version: the names start from a digest of all
-     * three, so the same text under another of them has other names and nothing is ever looked up, fetched or exported
-     * under a name that two of them share.
+     * <p>This keeps the context of customers, services and weight versions apart: the names are derived from a
+     * digest of all three, so the same text has other names under another of them, and no block is ever looked up,
+     * fetched or exported under a name that two of them share.
      */
     public List<Digest> blocks() {
         return shape.blockDigests(root());
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/ContextReady.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/ContextReady.java
@@ -3,10 +3,11 @@
 import org.rattanrudder.core.model.AttemptId;
 
 /**
- * Says that nothing more will be done for a prompt's context: it may be given to its engine, which computes the rest.
+ * Reports that the preparation of a prompt's context has ended: the prompt may be sent to its engine, which computes
+ * the rest.
  *
  * @param attempt the attempt
- * @param fetchedTokens tokens whose cache was fetched and is in place
+ * @param fetchedTokens tokens whose blocks were fetched and are in the engine's cache
  * @param fetchedBytes bytes that were moved for it
  */
 public record ContextReady(AttemptId attempt, int fetchedTokens, long fetchedBytes) {}
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/ExportCandidate.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/ExportCandidate.java
@@ -3,15 +3,15 @@
 import org.rattanrudder.core.model.Digest;
 
 /**
- * A block in the engine's cache that may be worth a place in a store.
+ * A block in the engine's cache that may be worth exporting to a store.
  *
  * @param block its name
- * @param anchor the name that decides its stores
- * @param weightVersion the weight version of the run that made it
- * @param tries how often a store was found full for it
+ * @param anchor the block name that determines its stores
+ * @param weightVersion the weight version of the run that computed it
+ * @param attempts how often an export of it found a store full, counting two where the retry at that store was skipped
  */
-record ExportCandidate(Digest block, Digest anchor, String weightVersion, int tries) {
-    ExportCandidate again() {
-        return new ExportCandidate(block, anchor, weightVersion, tries + 1);
+record ExportCandidate(Digest block, Digest anchor, String weightVersion, int attempts) {
+    ExportCandidate nextAttempt() {
+        return new ExportCandidate(block, anchor, weightVersion, attempts + 1);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/ExportScheduler.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/ExportScheduler.java
@@ -11,113 +11,119 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.Digest;
 
-/** Decides which blocks of an engine's cache go to a store, and what is given up for them there. */
-final class Exports {
-    /** The most blocks that wait for the links; an engine frees its oldest soon, so waiting longer is of no use. */
-    static final int LONGEST_QUEUE = 2048;
-    /** The most exports under way, so that a fetch that comes finds the links nearly free. */
-    static final int MOST_UNDER_WAY = 2;
+/**
+ * Decides which blocks of an engine's cache are exported to a store, and which blocks are evicted there to make room.
+ */
+final class ExportScheduler {
+    /**
+     * The maximum number of queued blocks. An engine soon evicts its oldest blocks, so a longer queue is of no use.
+     */
+    static final int MAX_QUEUE_LENGTH = 2048;
+    /** The maximum number of exports in flight, so that a new fetch finds the links nearly free. */
+    static final int MAX_IN_FLIGHT = 2;
 
     private final BlockCatalog catalog;
     private final Moves moves;
     private final MoverPolicy policy;
-    private final Deque<ExportCandidate> returning = new ArrayDeque<>();
-    private final Deque<ExportCandidate> fresh = new ArrayDeque<>();
-    private final Set<Digest> waiting = new HashSet<>();
+    private final Deque<ExportCandidate> reusedBlocks = new ArrayDeque<>();
+    private final Deque<ExportCandidate> newBlocks = new ArrayDeque<>();
+    private final Set<Digest> queued = new HashSet<>();
 
-    Exports(BlockCatalog catalog, Moves moves, MoverPolicy policy) {
+    ExportScheduler(BlockCatalog catalog, Moves moves, MoverPolicy policy) {
         this.catalog = catalog;
         this.moves = moves;
         this.policy = policy;
     }
 
-    /** Takes note of blocks that a run has left in the engine; those that have returned before go first. */
+    /** Queues the blocks that a run has left in the engine; those that have been reused go first. */
     void offer(List<Digest> names, String weightVersion) {
         for (int index = 0; index < names.size(); index++) {
             Digest block = names.get(index);
-            boolean returned = catalog.sights(block) > 1;
-            boolean wanted = returned || policy.exportAtFirstSight();
-            if (!wanted || catalog.store(block) >= 0 || waiting.size() >= LONGEST_QUEUE || !waiting.add(block)) {
+            boolean reused = catalog.uses(block) > 1;
+            boolean eligible = reused || policy.exportOnFirstUse();
+            if (!eligible || catalog.store(block) >= 0 || queued.size() >= MAX_QUEUE_LENGTH || !queued.add(block)) {
                 continue;
             }
             Digest anchor = StorePlacement.anchor(names, index, policy.segmentBlocks());
-            (returned ? returning : fresh).add(new ExportCandidate(block, anchor, weightVersion, 0));
+            (reused ? reusedBlocks : newBlocks).add(new ExportCandidate(block, anchor, weightVersion, 0));
         }
     }
 
-    /** Starts what the links have room for. */
-    void start(
+    /** Starts as many exports as the links have room for. */
+    void startExports(
             List<StoreLink> stores,
             Address target,
             long bytes,
             long nowMicros,
             Consumer<? super CompanionEffect> effects) {
-        while (moves.exportsUnderWay() < MOST_UNDER_WAY && !isEmpty()) {
-            Deque<ExportCandidate> queue = returning.isEmpty() ? fresh : returning;
+        while (moves.exportsInFlight() < MAX_IN_FLIGHT && !isEmpty()) {
+            Deque<ExportCandidate> queue = reusedBlocks.isEmpty() ? newBlocks : reusedBlocks;
             ExportCandidate candidate = queue.getFirst();
-            boolean useless = !catalog.isHeld(candidate.block())
+            boolean obsolete = !catalog.isHeld(candidate.block())
                     || catalog.store(candidate.block()) >= 0
                     || !catalog.hasRoomForStored()
-                    || candidate.tries() >= 2 * StorePlacement.CHOICES;
-            if (!useless) {
+                    || candidate.attempts() >= 2 * StorePlacement.MAX_CHOICES;
+            if (!obsolete) {
                 StoreLink store = choose(stores, candidate, nowMicros);
-                if (store == null || !moves.export(candidate, store, target, bytes, nowMicros, effects)) {
+                if (store == null || !moves.startExport(candidate, store, target, bytes, nowMicros, effects)) {
                     return;
                 }
-                store.health.asked();
+                store.circuitBreaker.onRequest();
             }
             queue.removeFirst();
-            waiting.remove(candidate.block());
+            queued.remove(candidate.block());
         }
     }
 
-    /** Takes the end of an export. */
-    void ended(Move move, MoveOutcome outcome, long nowMicros, Consumer<? super CompanionEffect> effects) {
+    /** Handles the end of an export. */
+    void onEnded(Move move, MoveOutcome outcome, long nowMicros, Consumer<? super CompanionEffect> effects) {
         ExportCandidate candidate = move.candidate();
         switch (outcome) {
             case DONE -> {
-                move.store.health.answered();
+                move.store.circuitBreaker.onSuccess();
                 catalog.setStore(move.block, move.store.index, nowMicros);
             }
             case FULL -> {
-                move.store.health.answered();
+                move.store.circuitBreaker.onSuccess();
                 makeRoom(candidate, move.store, nowMicros, effects);
             }
-            case UNREACHABLE -> move.store.health.failed(nowMicros);
+            case UNREACHABLE -> move.store.circuitBreaker.onFailure(nowMicros);
             case GONE -> catalog.setHeld(move.block, false, nowMicros);
-            default -> move.store.health.answered();
+            default -> move.store.circuitBreaker.onSuccess();
         }
     }
 
     boolean isEmpty() {
-        return returning.isEmpty() && fresh.isEmpty();
+        return reusedBlocks.isEmpty() && newBlocks.isEmpty();
     }
 
     /**
-     * Gives up the least valuable block known in a full store, if it is worth less than the new one, and tries again;
-     * else tries the other store. The first try at a store has an even number, the one after making room an odd one.
+     * Evicts the least valuable known block of a full store if its score is lower than the new block's, and retries
+     * there; otherwise tries the other store. The first attempt at a store has an even number, the one after an
+     * eviction an odd one.
      */
     private void makeRoom(
             ExportCandidate candidate, StoreLink store, long nowMicros, Consumer<? super CompanionEffect> effects) {
-        boolean firstTry = candidate.tries() % 2 == 0;
-        Digest victim = firstTry ? catalog.leastValuable(store.index, nowMicros) : null;
-        boolean better = victim != null
-                && (!policy.replacementPenalty()
-                        || catalog.value(candidate.block(), nowMicros) > catalog.value(victim, nowMicros));
-        if (better) {
-            catalog.clearStore(victim, store.index);
-            effects.accept(new CompanionEffect.DropBlock(store.address, victim));
+        boolean firstAttempt = candidate.attempts() % 2 == 0;
+        Digest evicted = firstAttempt ? catalog.leastValuable(store.index, nowMicros) : null;
+        boolean evict = evicted != null
+                && (!policy.evictOnlyLessValuable()
+                        || catalog.value(candidate.block(), nowMicros) > catalog.value(evicted, nowMicros));
+        if (evict) {
+            catalog.clearStore(evicted, store.index);
+            effects.accept(new CompanionEffect.DropBlock(store.address, evicted));
         }
-        ExportCandidate again = firstTry && !better ? candidate.again().again() : candidate.again();
-        if (waiting.add(again.block())) {
-            returning.addFirst(again);
+        ExportCandidate retry =
+                firstAttempt && !evict ? candidate.nextAttempt().nextAttempt() : candidate.nextAttempt();
+        if (queued.add(retry.block())) {
+            reusedBlocks.addFirst(retry);
         }
     }
 
     private static StoreLink choose(List<StoreLink> stores, ExportCandidate candidate, long nowMicros) {
         List<StoreLink> choices = StorePlacement.choices(stores, candidate.anchor());
-        for (int choice = candidate.tries() / 2; choice < choices.size(); choice++) {
-            if (choices.get(choice).health.isUsable(nowMicros)) {
+        for (int choice = candidate.attempts() / 2; choice < choices.size(); choice++) {
+            if (choices.get(choice).circuitBreaker.allowsRequest(nowMicros)) {
                 return choices.get(choice);
             }
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/Lookups.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/Lookups.java
@@ -14,104 +14,110 @@
 import org.rattanrudder.core.companion.CompanionEvent.StoredBlock;
 import org.rattanrudder.core.model.Digest;
 
-/** The questions to stores that are open: one to each store that may hold a missing block, all at the same time. */
+/**
+ * The pending lookups of missing blocks: one for each store that may hold some of them, all sent at the same time.
+ */
 final class Lookups {
-    static final long SHORTEST_MICROS = 5_000;
-    static final long LONGEST_MICROS = 50_000;
-    /** A lookup may take this part of the time that computing the missing tokens would. */
-    private static final int PART_OF_COMPUTE = 10;
+    static final long MIN_WAIT_MICROS = 5_000;
+    static final long MAX_WAIT_MICROS = 50_000;
+    /** A lookup may take the time to compute the missing tokens, divided by this. */
+    private static final int COMPUTE_TIME_DIVISOR = 10;
 
     private final LongSupplier numbers;
     private final BlockCatalog catalog;
-    private final Map<Long, Lookup> open = new LinkedHashMap<>();
+    private final Map<Long, Lookup> pending = new LinkedHashMap<>();
 
     Lookups(LongSupplier numbers, BlockCatalog catalog) {
         this.numbers = numbers;
         this.catalog = catalog;
     }
 
-    /** Returns how long a prompt waits for answers, in microseconds, if computing what it lacks takes so long. */
-    long boundMicros(long computeMicros) {
-        return Math.min(LONGEST_MICROS, Math.max(SHORTEST_MICROS, computeMicros / PART_OF_COMPUTE));
+    /**
+     * Returns how long a prompt waits for lookups at most, given the time to compute what it lacks, in microseconds.
+     */
+    long maxWaitMicros(long computeMicros) {
+        return Math.min(MAX_WAIT_MICROS, Math.max(MIN_WAIT_MICROS, computeMicros / COMPUTE_TIME_DIVISOR));
     }
 
-    /** Asks the stores that are not left alone for the blocks that are missing. */
+    /** Looks up the missing blocks in the stores whose circuit breakers allow it. */
     void send(
             Preparation preparation,
-            Predicate<Digest> askable,
+            Predicate<Digest> needsLookup,
             Choices choices,
             long nowMicros,
             Consumer<? super CompanionEffect> effects) {
-        Map<StoreLink, List<Digest>> asked = new LinkedHashMap<>();
-        for (int index = preparation.first; index < preparation.names.size(); index++) {
+        Map<StoreLink, List<Digest>> requested = new LinkedHashMap<>();
+        for (int index = preparation.firstMissing; index < preparation.names.size(); index++) {
             Digest block = preparation.names.get(index);
-            if (askable.test(block)) {
+            if (needsLookup.test(block)) {
                 choices.of(index).stream()
-                        .filter(store -> store.health.isUsable(nowMicros))
-                        .forEach(store -> asked.computeIfAbsent(store, none -> new ArrayList<>())
+                        .filter(store -> store.circuitBreaker.allowsRequest(nowMicros))
+                        .forEach(store -> requested
+                                .computeIfAbsent(store, none -> new ArrayList<>())
                                 .add(block));
             }
         }
-        asked.forEach((store, blocks) -> {
+        requested.forEach((store, blocks) -> {
             long number = numbers.getAsLong();
-            store.health.asked();
-            preparation.lookupSent();
-            open.put(number, new Lookup(store, preparation, blocks, preparation.boundMicros()));
+            store.circuitBreaker.onRequest();
+            preparation.onLookupSent();
+            pending.put(number, new Lookup(store, preparation, blocks, preparation.waitUntilMicros()));
             effects.accept(new CompanionEffect.LookUpBlocks(number, store.address, List.copyOf(blocks)));
         });
     }
 
-    /** Takes an answer; returns whether a prompt still waited for it. */
-    boolean answered(CompanionEvent.BlockLookupEnded event, long nowMicros) {
-        Lookup lookup = open.remove(event.lookup());
+    /** Handles the end of a lookup; returns whether a prompt was still waiting for it. */
+    boolean onAnswer(CompanionEvent.BlockLookupEnded event, long nowMicros) {
+        Lookup lookup = pending.remove(event.lookup());
         if (lookup == null) {
             return false;
         }
-        lookup.preparation().lookupEnded();
+        lookup.preparation().onLookupEnded();
         if (!event.answered()) {
-            lookup.store().health.failed(nowMicros);
+            lookup.store().circuitBreaker.onFailure(nowMicros);
             return true;
         }
-        lookup.store().health.answered();
-        learn(lookup, event.found(), nowMicros);
+        lookup.store().circuitBreaker.onSuccess();
+        update(lookup, event.found(), nowMicros);
         return true;
     }
 
-    /** Gives up the lookups whose prompts wait no longer: a store that is too slow counts as one that is gone. */
+    /** Cancels the lookups whose prompts have stopped waiting. A store that is too slow counts as unavailable. */
     void expire(long nowMicros) {
-        Iterator<Lookup> all = open.values().iterator();
+        Iterator<Lookup> all = pending.values().iterator();
         while (all.hasNext()) {
             Lookup lookup = all.next();
             if (nowMicros >= lookup.untilMicros()) {
                 all.remove();
-                lookup.preparation().lookupEnded();
-                lookup.store().health.failed(nowMicros);
+                lookup.preparation().onLookupEnded();
+                lookup.store().circuitBreaker.onFailure(nowMicros);
             }
         }
     }
 
-    private void learn(Lookup lookup, List<StoredBlock> found, long nowMicros) {
+    private void update(Lookup lookup, List<StoredBlock> found, long nowMicros) {
         StoreLink store = lookup.store();
-        Map<Digest, StoredBlock> places = new HashMap<>();
-        for (StoredBlock place : found) {
-            if (store.isRestarted(place.incarnation())) {
-                // Guards against references into a store that was restarted and holds other bytes or none.
-                catalog.forgetStore(store.index);
+        Map<Digest, StoredBlock> storedBlocks = new HashMap<>();
+        for (StoredBlock storedBlock : found) {
+            if (store.updateIncarnation(storedBlock.incarnation())) {
+                // The store has restarted: it holds other bytes or none, so references into its earlier memory are
+                // invalid.
+                catalog.clearAllStored(store.index);
             }
-            places.put(place.block(), place);
+            storedBlocks.put(storedBlock.block(), storedBlock);
         }
         for (Digest block : lookup.blocks()) {
-            StoredBlock place = places.get(block);
-            if (place == null) {
+            StoredBlock storedBlock = storedBlocks.get(block);
+            if (storedBlock == null) {
                 catalog.clearStore(block, store.index);
             } else {
                 catalog.setStore(block, store.index, nowMicros);
-                lookup.preparation().offer(new StoredAt(place, store), nowMicros);
+                lookup.preparation().addLocation(new BlockLocation(storedBlock, store), nowMicros);
             }
         }
     }
 
-    /** Says which stores may hold the block at an index. */
+    /** Returns the stores that may hold the block at an index. */
     @FunctionalInterface
     interface Choices {
         List<StoreLink> of(int index);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/MoverPolicy.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/MoverPolicy.java
@@ -1,15 +1,16 @@
 package org.rattanrudder.core.cache;
 
 /**
- * How a mover values blocks and where it puts them; other than {@link #DEFAULT} only to compare.
+ * How a mover scores and places blocks. Policies other than {@link #DEFAULT} are used only for comparison.
  *
- * @param keepValue what a block is worth to a store
- * @param exportAtFirstSight whether a block is exported when it was asked for only once
- * @param replacementPenalty whether a block goes into a full store only if it is worth more than what is given up
- * @param segmentBlocks how many blocks of a prompt in a row go to the same store, from 1
+ * @param retentionScore how much a block is worth retaining in a store
+ * @param exportOnFirstUse whether a block is exported when it has been used only once
+ * @param evictOnlyLessValuable whether a block is put into a full store only if its score is higher than that of the
+ *     evicted block
+ * @param segmentBlocks how many consecutive blocks of a prompt go to the same store, from 1
  */
 public record MoverPolicy(
-        KeepValue keepValue, boolean exportAtFirstSight, boolean replacementPenalty, int segmentBlocks) {
+        RetentionScore retentionScore, boolean exportOnFirstUse, boolean evictOnlyLessValuable, int segmentBlocks) {
     /** The policy that the daemon uses. */
-    public static final MoverPolicy DEFAULT = new MoverPolicy(KeepValue.RETURN_RATE, true, true, 8);
+    public static final MoverPolicy DEFAULT = new MoverPolicy(RetentionScore.RETURN_RATE, true, true, 8);
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/Moves.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/Moves.java
@@ -13,11 +13,14 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.Digest;
 
-/** The moves of one target under way: within both links' budgets, and at most one fetch of a block at a time. */
+/**
+ * The moves of one target that are in flight: within the budgets of both links, and with at most one fetch of each
+ * block at a time.
+ */
 final class Moves {
     private final LongSupplier numbers;
     private final LinkBudget targetBudget;
-    private final Map<Long, Move> underWay = new LinkedHashMap<>();
+    private final Map<Long, Move> inFlight = new LinkedHashMap<>();
     private final Map<Digest, Move> fetches = new HashMap<>();
     private int exports;
 
@@ -26,40 +29,43 @@
         this.targetBudget = targetBudget;
     }
 
-    /** Returns the fetch of this block that is under way, or null. */
-    Move fetching(Digest block) {
+    /** Returns the fetch of this block that is in flight, or null. */
+    Move fetchInFlight(Digest block) {
         return fetches.get(block);
     }
 
-    int exportsUnderWay() {
+    int exportsInFlight() {
         return exports;
     }
 
-    /** Starts a fetch; returns null if a link has no room now. The caller makes sure that none of the block runs. */
-    Move fetch(
-            StoredAt place,
+    /**
+     * Starts a fetch; returns null if a link has no room now. The caller ensures that no fetch of the block is in
+     * flight.
+     */
+    Move startFetch(
+            BlockLocation location,
             Address target,
             Digest parent,
             String weightVersion,
             long nowMicros,
             Consumer<? super CompanionEffect> effects) {
-        StoreLink store = place.store();
-        long bytes = place.block().bytes();
-        if (bytes > store.budget.free(nowMicros) || !targetBudget.take(bytes, nowMicros)) {
+        StoreLink store = location.store();
+        long bytes = location.block().bytes();
+        if (bytes > store.budget.freeBytes(nowMicros) || !targetBudget.tryAcquire(bytes, nowMicros)) {
             return null;
         }
-        store.budget.take(bytes, nowMicros);
-        Move move = new Move(place.block().block(), store, bytes, nowMicros, true);
+        store.budget.tryAcquire(bytes, nowMicros);
+        Move move = new Move(location.block().block(), store, bytes, nowMicros, true);
         long number = numbers.getAsLong();
-        underWay.put(number, move);
+        inFlight.put(number, move);
         fetches.put(move.block, move);
         effects.accept(
-                new CompanionEffect.FetchBlock(number, store.address, place.block(), target, parent, weightVersion));
+                new CompanionEffect.FetchBlock(number, store.address, location.block(), target, parent, weightVersion));
         return move;
     }
 
-    /** Starts an export unless it would hold up a fetch; returns whether it started. */
-    boolean export(
+    /** Starts an export unless it would delay a fetch; returns whether it started. */
+    boolean startExport(
             ExportCandidate candidate,
             StoreLink store,
             Address target,
@@ -69,12 +75,12 @@
         if (!store.budget.allowsBackground(bytes, nowMicros) || !targetBudget.allowsBackground(bytes, nowMicros)) {
             return false;
         }
-        store.budget.take(bytes, nowMicros);
-        targetBudget.take(bytes, nowMicros);
+        store.budget.tryAcquire(bytes, nowMicros);
+        targetBudget.tryAcquire(bytes, nowMicros);
         long number = numbers.getAsLong();
         Move move = new Move(candidate.block(), store, bytes, nowMicros, false);
-        move.export(candidate);
-        underWay.put(number, move);
+        move.setCandidate(candidate);
+        inFlight.put(number, move);
         exports++;
         effects.accept(new CompanionEffect.ExportBlock(
                 number, target, candidate.block(), candidate.weightVersion(), store.address));
@@ -82,23 +88,23 @@
     }
 
     /**
-     * Ends a move; returns null if it isn't under way, such as one that was given up.
+     * Ends a move; returns null if it isn't in flight, for instance because it was overdue.
      *
-     * <p>The bytes of a move that broke off, or that a full store refused after the engine had sent them, may have
-     * passed over one link and not the other. They count in full on both: otherwise a row of refused exports would
-     * flood the engine's link within a budget that seems free.
+     * <p>The bytes of a move that failed, or that a full store refused after the engine had sent them, may have been
+     * transferred over one link and not the other. They count in full on both: otherwise repeatedly refused exports
+     * would flood the engine's link within a budget that seems free.
      */
     Move end(CompanionEvent.MoveEnded ended, long nowMicros) {
-        Move move = underWay.remove(ended.move());
+        Move move = inFlight.remove(ended.move());
         if (move == null) {
             return null;
         }
-        long moved = move.fetch && ended.outcome() != MoveOutcome.UNREACHABLE
+        long moved = move.isFetch && ended.outcome() != MoveOutcome.UNREACHABLE
                 ? ended.bytes()
                 : Math.max(move.bytes, ended.bytes());
         targetBudget.release(move.bytes, moved, nowMicros);
         move.store.budget.release(move.bytes, moved, nowMicros);
-        if (move.fetch) {
+        if (move.isFetch) {
             fetches.remove(move.block);
         } else {
             exports--;
@@ -106,10 +112,10 @@
         return move;
     }
 
-    /** Returns the moves whose end must have been lost: the daemon breaks off a move before. */
+    /** Returns the moves whose end must have been lost: the daemon ends every move earlier. */
     List<Long> overdue(long nowMicros) {
         List<Long> overdue = new ArrayList<>();
-        for (Map.Entry<Long, Move> entry : underWay.entrySet()) {
+        for (Map.Entry<Long, Move> entry : inFlight.entrySet()) {
             if (nowMicros - entry.getValue().startMicros < CompanionEffect.MOVE_TIMEOUT_MICROS) {
                 break;
             }
@@ -119,10 +125,10 @@
     }
 
     long bytes(long number) {
-        return underWay.get(number).bytes;
+        return inFlight.get(number).bytes;
     }
 
     boolean isIdle() {
-        return underWay.isEmpty();
+        return inFlight.isEmpty();
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/Preparation.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/Preparation.java
@@ -5,64 +5,71 @@
 import java.util.Objects;
 import org.rattanrudder.core.model.Digest;
 
-/** A prompt whose context is being brought: first looked up, then fetched from {@link #first} up to an end. */
+/**
+ * The preparation of a prompt's context: its blocks are first looked up, then fetched from {@link #firstMissing} up
+ * to an end.
+ */
 final class Preparation {
     final ContextPrompt prompt;
     final List<Digest> names;
-    final int first;
-    private final StoredAt[] found;
-    private final BitSet inPlace = new BitSet();
-    private int lookupsOpen;
-    private long boundMicros;
-    private List<StoredAt> places = List.of();
+    final int firstMissing;
+    private final BlockLocation[] foundLocations;
+    private final BitSet loaded = new BitSet();
+    private int pendingLookups;
+    private long waitUntilMicros;
+    private List<BlockLocation> plannedLocations = List.of();
     private boolean planned;
     private int next;
     private int end;
     private long fetchedBytes;
 
-    Preparation(ContextPrompt prompt, List<Digest> names, int first, long boundMicros) {
+    Preparation(ContextPrompt prompt, List<Digest> names, int firstMissing, long waitUntilMicros) {
         this.prompt = prompt;
         this.names = names;
-        this.first = first;
-        this.next = first;
-        this.end = first;
-        this.boundMicros = boundMicros;
-        this.found = new StoredAt[names.size()];
+        this.firstMissing = firstMissing;
+        this.next = firstMissing;
+        this.end = firstMissing;
+        this.waitUntilMicros = waitUntilMicros;
+        this.foundLocations = new BlockLocation[names.size()];
     }
 
-    void lookupSent() {
-        lookupsOpen++;
+    void onLookupSent() {
+        pendingLookups++;
     }
 
-    void lookupEnded() {
-        lookupsOpen--;
+    void onLookupEnded() {
+        pendingLookups--;
     }
 
-    /** Takes a place where a block was found, unless a better one is known; ignores names that weren't asked for. */
-    void offer(StoredAt place, long nowMicros) {
-        int index = names.indexOf(place.block().block());
-        if (index < first || place.block().bytes() <= 0) {
+    /**
+     * Adds a location where a block was found, unless one whose link has as much room is known; ignores blocks that
+     * weren't requested.
+     */
+    void addLocation(BlockLocation location, long nowMicros) {
+        int index = names.indexOf(location.block().block());
+        if (index < firstMissing || location.block().bytes() <= 0) {
             return;
         }
-        StoredAt known = found[index];
+        BlockLocation known = foundLocations[index];
         if (known == null
-                || known.store().budget.free(nowMicros) < place.store().budget.free(nowMicros)) {
-            found[index] = place;
+                || known.store().budget.freeBytes(nowMicros)
+                        < location.store().budget.freeBytes(nowMicros)) {
+            foundLocations[index] = location;
         }
     }
 
-    StoredAt found(int index) {
-        return found[index];
+    BlockLocation foundLocations(int index) {
+        return foundLocations[index];
     }
 
-    /** Returns until when the prompt waits for what it does now. */
-    long boundMicros() {
-        return boundMicros;
+    /** Returns until when the prompt waits for its lookups or, once planned, for its fetches. */
+    long waitUntilMicros() {
+        return waitUntilMicros;
     }
 
-    /** Returns whether all is known that a plan needs. */
+    /** Returns whether the fetches can be planned. */
     boolean isLookedUp(long nowMicros) {
-        return lookupsOpen == 0 || nowMicros >= boundMicros || foundAll();
+        return pendingLookups == 0 || nowMicros >= waitUntilMicros || foundAll();
     }
 
     boolean isPlanned() {
@@ -70,68 +77,70 @@
     }
 
     /**
-     * Decides to fetch these blocks, from the first missing one on, and to wait for them until a time.
+     * Plans to fetch these blocks, starting with the first missing one, and to wait for them until a time.
      *
-     * @param chosen where each is; an entry of null is under way already
-     * @param untilMicros when the prompt goes to its engine, whatever has arrived
+     * @param locations where each block is; null if its fetch is in flight
+     * @param untilMicros when the prompt is sent to its engine, whatever has been fetched
      */
-    void plan(List<StoredAt> chosen, long untilMicros) {
+    void plan(List<BlockLocation> locations, long untilMicros) {
         planned = true;
-        places = chosen;
-        next = first;
-        end = first + chosen.size();
-        boundMicros = untilMicros;
+        plannedLocations = locations;
+        next = firstMissing;
+        end = firstMissing + locations.size();
+        waitUntilMicros = untilMicros;
     }
 
-    /** Returns the index of the next block to fetch, or -1 if none is left to start. */
+    /** Returns the index of the next block to fetch, or -1 if there is none. */
     int nextIndex() {
         return next < end ? next : -1;
     }
 
-    /** Returns where the plan fetches the block from; null if it was under way already. */
-    StoredAt place(int index) {
-        return places.get(index - first);
+    /** Returns from where the block is fetched; null if its fetch was already in flight. */
+    BlockLocation plannedLocation(int index) {
+        return plannedLocations.get(index - firstMissing);
     }
 
-    /** Returns the places of the plan that no move has been started or joined for, also those behind a failed one. */
-    List<StoredAt> unstarted() {
-        return places.stream()
-                .skip((long) next - first)
+    /**
+     * Returns the planned locations for which no fetch has been started or joined, including those after a failed one.
+     */
+    List<BlockLocation> unstarted() {
+        return plannedLocations.stream()
+                .skip((long) next - firstMissing)
                 .filter(Objects::nonNull)
                 .toList();
     }
 
-    void started(int index, long bytes) {
+    void onStarted(int index, long bytes) {
         next = index + 1;
         fetchedBytes += bytes;
     }
 
-    /** Returns how many fetches are under way. */
-    int underWay() {
-        return next - first - inPlace.cardinality();
+    /** Returns how many fetches are in flight. */
+    int fetchesInFlight() {
+        return next - firstMissing - loaded.cardinality();
     }
 
-    /** A block is in place, or won't be: then those behind it are of no use. */
-    void settled(int index, boolean nowInPlace) {
-        if (nowInPlace) {
-            inPlace.set(index);
+    /** Handles the end of a fetch. If it failed, the blocks after it can't be used. */
+    void onFetchEnded(int index, boolean isLoaded) {
+        if (isLoaded) {
+            loaded.set(index);
         } else {
             end = Math.min(end, index);
         }
     }
 
     boolean isReady(long nowMicros) {
-        return planned && (nowMicros >= boundMicros || inPlace.nextClearBit(first) >= end);
+        return planned && (nowMicros >= waitUntilMicros || loaded.nextClearBit(firstMissing) >= end);
     }
 
     ContextReady ready(int pieceTokens) {
-        int blocks = Math.min(end, inPlace.nextClearBit(first)) - first;
+        int blocks = Math.min(end, loaded.nextClearBit(firstMissing)) - firstMissing;
         return new ContextReady(prompt.attempt(), Math.max(0, blocks) * pieceTokens, fetchedBytes);
     }
 
     private boolean foundAll() {
-        for (int index = first; index < found.length; index++) {
-            if (found[index] == null) {
+        for (int index = firstMissing; index < foundLocations.length; index++) {
+            if (foundLocations[index] == null) {
                 return false;
             }
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/RetentionScore.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/RetentionScore.java
@@ -1,46 +1,49 @@
 package org.rattanrudder.core.cache;
 
 /**
- * Says how much a block is worth keeping, per byte, from what was seen of it. All blocks have the same size and cost
- * the same to recompute, so only the expected rate of returns counts.
+ * Scores how much a block is worth retaining, per byte, from its past use. All blocks have the same size and cost
+ * the same to recompute, so only the expected rate of reuse counts.
  */
 @FunctionalInterface
-public interface KeepValue {
-    /** How many returns are remembered: more would make a block that is out of use seem valuable for too long. */
-    int REMEMBERED_RETURNS = 8;
-    /** The returns assumed of a block before any was seen. */
-    double FIRST_RETURNS = 0.5;
-    /** The time in seconds over which {@link #FIRST_RETURNS} are assumed. */
-    double FIRST_SECONDS = 43_200;
-    /** After a silence of this many expected gaps a block is probably out of use. */
-    double PATIENCE_GAPS = 2;
+public interface RetentionScore {
+    /**
+     * The maximum number of reuses that count: with more, a block that is out of use would keep a high score for too
+     * long.
+     */
+    int MAX_RETURNS = 8;
+    /** The number of reuses assumed of a block before any was observed. */
+    double PRIOR_RETURNS = 0.5;
+    /** The time in seconds over which {@link #PRIOR_RETURNS} are assumed. */
+    double PRIOR_SECONDS = 43_200;
+    /** A block that has been idle for this many expected gaps is probably out of use. */
+    double MAX_IDLE_GAPS = 2;
 
     /**
-     * Returns a second, estimated from the mean gap. A silence that is short against the gap says nothing; one that is
-     * long against it makes the value fall fast.
+     * The expected reuses per second, from the mean gap. Idle time that is short compared with the gap hardly
+     * changes the score; once it is longer, the score drops quickly.
      */
-    KeepValue RETURN_RATE = (sights, gapSeconds, idleSeconds) -> {
-        int returns = Math.min(sights - 1, REMEMBERED_RETURNS);
-        double rate = (FIRST_RETURNS + returns) / (FIRST_SECONDS + returns * gapSeconds);
-        double silence = idleSeconds * rate / PATIENCE_GAPS;
-        return rate / (1 + silence * silence * silence);
+    RetentionScore RETURN_RATE = (uses, gapSeconds, idleSeconds) -> {
+        int returns = Math.min(uses - 1, MAX_RETURNS);
+        double rate = (PRIOR_RETURNS + returns) / (PRIOR_SECONDS + returns * gapSeconds);
+        double idleness = idleSeconds * rate / MAX_IDLE_GAPS;
+        return rate / (1 + idleness * idleness * idleness);
     };
 
-    /** The block that was used last is worth most. */
-    KeepValue LEAST_RECENTLY_USED = (sights, gapSeconds, idleSeconds) -> 1 / (1 + idleSeconds);
+    /** The most recently used block has the highest score. */
+    RetentionScore LEAST_RECENTLY_USED = (uses, gapSeconds, idleSeconds) -> 1 / (1 + idleSeconds);
 
     /**
-     * The value of the paper "Enhancing In-network Caching by Coupling Cache Placement, Replacement and Location", as
-     * it is kept there: it grows by the gain at each use, and the contention is the same for all blocks of a store.
+     * The score of the paper "Enhancing In-network Caching by Coupling Cache Placement, Replacement and Location":
+     * it grows by the gain at each use, and the contention is the same for all blocks of a store.
      */
-    KeepValue RATE_TIMES_GAIN = (sights, gapSeconds, idleSeconds) -> sights;
+    RetentionScore RATE_TIMES_GAIN = (uses, gapSeconds, idleSeconds) -> uses;
 
     /**
-     * Returns the value; only its order matters.
+     * Returns the score; only its order matters.
      *
-     * @param sights how often it was asked for after a gap, at least 1
-     * @param gapSeconds the mean gap between sights; 0 before the second
-     * @param idleSeconds the time since the last sight
+     * @param uses how often the block was used after a gap, at least 1
+     * @param gapSeconds the mean gap between uses; 0 before the second
+     * @param idleSeconds the time since the last use
      */
-    double of(int sights, double gapSeconds, double idleSeconds);
+    double of(int uses, double gapSeconds, double idleSeconds);
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/StoreCircuitBreaker.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/StoreCircuitBreaker.java
@@ -3,49 +3,50 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides whether a store is asked at all.
+ * The circuit breaker of a store.
  *
- * <p>Guards against a dead or slow store delaying every prompt by a lookup's time limit. Each failure in a row doubles
- * the time for which the store is left alone; then a single question tries it, and the others pass it by until that is
- * answered. Jitter keeps the companions from all trying a store at the moment it comes back.
+ * <p>Without it, an unavailable or slow store would delay every prompt by the lookup timeout. Each consecutive
+ * failure doubles the time for which the store gets no requests. After that, a single request probes it, and all
+ * others skip it until the probe is answered. Jitter keeps the companions from all probing a store at the moment at
+ * which it recovers.
  */
-final class StoreHealth {
-    static final long FIRST_PAUSE_MICROS = 500_000;
-    static final long LONGEST_PAUSE_MICROS = 60_000_000;
+final class StoreCircuitBreaker {
+    static final long MIN_BACKOFF_MICROS = 500_000;
+    static final long MAX_BACKOFF_MICROS = 60_000_000;
 
     private final RandomGenerator random;
-    private long pauseMicros;
-    private long closedUntilMicros;
-    private boolean trying;
+    private long backoffMicros;
+    private long openUntilMicros;
+    private boolean probing;
 
-    StoreHealth(RandomGenerator random) {
+    StoreCircuitBreaker(RandomGenerator random) {
         this.random = random;
     }
 
-    /** Returns whether a question may go to the store now. */
-    boolean isUsable(long nowMicros) {
-        return pauseMicros == 0 || (!trying && nowMicros >= closedUntilMicros);
+    /** Returns whether a request may be sent to the store now. */
+    boolean allowsRequest(long nowMicros) {
+        return backoffMicros == 0 || (!probing && nowMicros >= openUntilMicros);
     }
 
-    /** Notes that a question goes to the store. */
-    void asked() {
-        trying = pauseMicros > 0;
+    /** Records that a request is sent to the store. */
+    void onRequest() {
+        probing = backoffMicros > 0;
     }
 
-    /** Notes an answer. */
-    void answered() {
-        pauseMicros = 0;
-        trying = false;
+    /** Records a response. */
+    void onSuccess() {
+        backoffMicros = 0;
+        probing = false;
     }
 
-    /** Notes that no answer came in time. */
-    void failed(long nowMicros) {
-        if (pauseMicros > 0 && !trying && nowMicros < closedUntilMicros) {
-            // Questions that were sent together fail together: one pause is enough for them.
+    /** Records that no response arrived in time. */
+    void onFailure(long nowMicros) {
+        if (backoffMicros > 0 && !probing && nowMicros < openUntilMicros) {
+            // Requests that were sent together fail together: they count as one failure.
             return;
         }
-        trying = false;
-        pauseMicros = pauseMicros == 0 ? FIRST_PAUSE_MICROS : Math.min(2 * pauseMicros, LONGEST_PAUSE_MICROS);
-        closedUntilMicros = nowMicros + (long) (pauseMicros * (0.5 + random.nextDouble()));
+        probing = false;
+        backoffMicros = backoffMicros == 0 ? MIN_BACKOFF_MICROS : Math.min(2 * backoffMicros, MAX_BACKOFF_MICROS);
+        openUntilMicros = nowMicros + (long) (backoffMicros * (0.5 + random.nextDouble()));
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/StoreLink.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/StoreLink.java
@@ -5,16 +5,16 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.Digest;
 
-/** One store as a target sees it: its health, its speed, and this target's share of its link. */
+/** A store as one target uses it: its circuit breaker, its throughput, and this target's share of its link. */
 final class StoreLink {
-    private static final long GOLDEN = 0x9E3779B97F4A7C15L;
+    private static final long GOLDEN_RATIO = 0x9E3779B97F4A7C15L;
 
     final int index;
     final String name;
     final Address address;
     final LinkBudget budget;
-    final StoreHealth health;
-    final SpeedMeter speed;
+    final StoreCircuitBreaker circuitBreaker;
+    final ThroughputMeter throughput;
     private final long nameHash;
     private long incarnation;
 
@@ -23,8 +23,8 @@
         this.name = settings.name();
         this.address = settings.address();
         this.budget = new LinkBudget(shareBytesPerSecond, nowMicros);
-        this.health = new StoreHealth(random);
-        this.speed = new SpeedMeter(shareBytesPerSecond);
+        this.circuitBreaker = new StoreCircuitBreaker(random);
+        this.throughput = new ThroughputMeter(shareBytesPerSecond);
         this.nameHash = Digest.of(settings.name()).first();
     }
 
@@ -32,17 +32,20 @@
         return name.equals(settings.name()) && address.equals(settings.address());
     }
 
-    /** Returns the weight of this store for a block by rendezvous hashing: the store of the highest weight is first. */
+    /**
+     * Returns the weight of this store for a block by rendezvous hashing: the store with the highest weight is the
+     * first choice.
+     */
     long weight(Digest anchor) {
-        long mixed = (anchor.first() ^ nameHash) * GOLDEN;
-        mixed = (mixed ^ (mixed >>> 32)) * GOLDEN;
+        long mixed = (anchor.first() ^ nameHash) * GOLDEN_RATIO;
+        mixed = (mixed ^ (mixed >>> 32)) * GOLDEN_RATIO;
         return mixed ^ (mixed >>> 29);
     }
 
-    /** Takes note of the incarnation in an answer; returns whether the store was restarted since the last one. */
-    boolean isRestarted(long answeredIncarnation) {
-        boolean restarted = incarnation != 0 && incarnation != answeredIncarnation;
-        incarnation = answeredIncarnation;
+    /** Records the incarnation in a response; returns whether the store has restarted since the last one. */
+    boolean updateIncarnation(long newIncarnation) {
+        boolean restarted = incarnation != 0 && incarnation != newIncarnation;
+        incarnation = newIncarnation;
         return restarted;
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/TargetMover.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/TargetMover.java
@@ -18,23 +18,26 @@
 import org.rattanrudder.core.model.AttemptId;
 import org.rattanrudder.core.model.Digest;
 
-/** Brings context to one target's engine and keeps what is worth keeping in the stores. */
+/** Fetches context into the engine of one target, and exports the blocks worth retaining to the stores. */
 final class TargetMover {
-    /** The most fetches of one prompt at once; the blocks behind one that fails were fetched for nothing. */
-    static final int FETCHES_AT_ONCE = 4;
+    /**
+     * The maximum number of fetches of one prompt in flight: when one fails, those of the blocks after it were
+     * useless.
+     */
+    static final int MAX_FETCHES_PER_PROMPT = 4;
 
     private final MoverPolicy policy;
     private final BlockCatalog catalog;
     private final LinkBudget targetBudget;
     private final Moves moves;
-    private final Exports exports;
+    private final ExportScheduler exports;
     private final Lookups lookups;
     private final TargetStores stores;
     private final Map<AttemptId, Preparation> preparations = new LinkedHashMap<>();
     private CacheSettings cache;
     private Address address;
     private long prefillSpeed;
-    private long largestBytes;
+    private long maxBlockBytes;
 
     TargetMover(
             TargetSettings target,
@@ -44,52 +47,55 @@
             RandomGenerator random,
             long nowMicros) {
         this.policy = policy;
-        this.catalog = new BlockCatalog(catalogBlocks, policy.keepValue(), random);
+        this.catalog = new BlockCatalog(catalogBlocks, policy.retentionScore(), random);
         this.targetBudget = new LinkBudget(target.linkBytesPerSecond(), nowMicros);
         this.moves = new Moves(numbers, targetBudget);
-        this.exports = new Exports(catalog, moves, policy);
+        this.exports = new ExportScheduler(catalog, moves, policy);
         this.lookups = new Lookups(numbers, catalog);
         this.stores = new TargetStores(catalog, random);
     }
 
-    /** Takes up a document. */
-    void serve(ServiceDocument document, TargetSettings target, long nowMicros) {
+    /** Updates the document and the settings of the target. */
+    void update(ServiceDocument document, TargetSettings target, long nowMicros) {
         if (prefillSpeed == 0) {
             prefillSpeed = document.cache().prefillTokensPerSecond();
         }
         cache = document.cache();
         if (address != null && !address.equals(target.address())) {
-            catalog.forgetHeld();
+            catalog.clearAllHeld();
         }
         address = target.address();
-        targetBudget.change(target.linkBytesPerSecond(), nowMicros);
-        stores.serve(document, nowMicros);
+        targetBudget.updateLimit(target.linkBytesPerSecond(), nowMicros);
+        stores.update(document, nowMicros);
     }
 
-    /** Begins to bring a prompt's context; returns the prompts that may go, itself too if it waits for nothing. */
+    /**
+     * Starts to prepare a prompt's context; returns the prompts that may be sent, including this one if it has
+     * nothing to wait for.
+     */
     List<ContextReady> prepare(ContextPrompt prompt, long nowMicros, Consumer<? super CompanionEffect> effects) {
         List<Digest> names = prompt.blocks();
-        int held = heldHead(names, nowMicros);
+        int held = heldPrefix(names, nowMicros);
         for (int index = 0; index < names.size(); index++) {
-            catalog.see(names.get(index), index, nowMicros);
+            catalog.recordUse(names.get(index), index, nowMicros);
         }
         Preparation preparation = new Preparation(
-                prompt, names, held, nowMicros + lookups.boundMicros(computeMicros(missingTokens(prompt, held))));
-        lookups.send(preparation, this::isAskable, choices(names, nowMicros), nowMicros, effects);
+                prompt, names, held, nowMicros + lookups.maxWaitMicros(computeMicros(missingTokens(prompt, held))));
+        lookups.send(preparation, this::needsLookup, choices(names, nowMicros), nowMicros, effects);
         preparations.put(prompt.attempt(), preparation);
         return advance(nowMicros, effects);
     }
 
-    /** Takes the end of a run: the engine now holds the prompt's blocks, unless it ran on other weights. */
-    void ended(
+    /** Handles the end of a run: the engine now holds the prompt's blocks, unless it ran with other weights. */
+    void onCompleted(
             ContextPrompt prompt,
             String weightVersion,
             long prefillTokensPerSecond,
             long nowMicros,
             Consumer<? super CompanionEffect> effects) {
         if (!weightVersion.equals(prompt.weightVersion())) {
-            // Guards against blocks of new weights under a name of the old ones, when weights are swapped during a
-            // run: what the run left in the engine is neither believed nor exported.
+            // If weights are swapped during a run, the engine holds blocks of the new weights under names of the old
+            // version: they are neither assumed to be held nor exported.
             return;
         }
         if (prefillTokensPerSecond > 0) {
@@ -101,28 +107,28 @@
         startMoves(nowMicros, effects);
     }
 
-    /** Forgets a prompt that is given up. Fetches that run go on: others may wait for them. */
-    void abandon(AttemptId attempt) {
+    /** Removes a cancelled prompt. Its fetches in flight continue, since other prompts may wait for them. */
+    void cancel(AttemptId attempt) {
         Preparation preparation = preparations.remove(attempt);
         if (preparation != null) {
-            unplan(preparation);
+            releasePending(preparation);
         }
     }
 
-    List<ContextReady> found(
+    List<ContextReady> onLookupEnded(
             CompanionEvent.BlockLookupEnded event, long nowMicros, Consumer<? super CompanionEffect> effects) {
-        return lookups.answered(event, nowMicros) ? advance(nowMicros, effects) : List.of();
+        return lookups.onAnswer(event, nowMicros) ? advance(nowMicros, effects) : List.of();
     }
 
-    List<ContextReady> moveEnded(
+    List<ContextReady> onMoveEnded(
             CompanionEvent.MoveEnded event, long nowMicros, Consumer<? super CompanionEffect> effects) {
-        settle(event, nowMicros, effects);
+        endMove(event, nowMicros, effects);
         return advance(nowMicros, effects);
     }
 
-    List<ContextReady> tick(long nowMicros, Consumer<? super CompanionEffect> effects) {
+    List<ContextReady> onTick(long nowMicros, Consumer<? super CompanionEffect> effects) {
         for (long number : moves.overdue(nowMicros)) {
-            settle(
+            endMove(
                     new CompanionEvent.MoveEnded(number, MoveOutcome.UNREACHABLE, moves.bytes(number)),
                     nowMicros,
                     effects);
@@ -131,10 +137,10 @@
         return advance(nowMicros, effects);
     }
 
-    /** Takes an engine's cache events. A gap means that any belief may be wrong, so all are dropped. */
-    void cacheEvents(CompanionEvent.CacheEventsReported event, long nowMicros) {
+    /** Handles an engine's cache events. After a gap any hint may be wrong, so all are cleared. */
+    void onCacheEvents(CompanionEvent.CacheEventsReported event, long nowMicros) {
         if (event.gap()) {
-            catalog.forgetHeld();
+            catalog.clearAllHeld();
         }
         event.events().forEach(change -> catalog.setHeld(change.block(), change.stored(), nowMicros));
     }
@@ -151,7 +157,10 @@
         return preparations.isEmpty() && moves.isIdle() && exports.isEmpty();
     }
 
-    /** A store or target whose link has no room for a block at all isn't worth a question. */
+    /**
+     * Returns the stores to look in. A lookup is of no use if the link of the store or of the target has no room for
+     * a block at all.
+     */
     private Lookups.Choices choices(List<Digest> names, long nowMicros) {
         boolean linked = targetBudget.limit(nowMicros) >= cache.pieceBytes();
         return index ->
@@ -162,31 +171,32 @@
     }
 
     /**
-     * Returns how many leading blocks the engine holds and will still hold when the prompt comes.
+     * Returns how many leading blocks the engine holds and will still hold when the prompt arrives.
      *
-     * <p>An engine frees what was used least recently, and of one prompt the end first. Where the end of a prompt has
-     * been freed, its head is next: bringing the end back would push the head out, and the engine would compute it
-     * again. So of such a prompt only a head that others have used since counts as held.
+     * <p>An engine evicts the least recently used blocks first, and of one prompt the last ones. If the end of a
+     * prompt has been evicted, its head is next: fetching the end would evict the head, which the engine would then
+     * compute again. So of such a prompt, only the part of the head that other prompts have used later counts as
+     * held.
      */
-    private int heldHead(List<Digest> names, long nowMicros) {
+    private int heldPrefix(List<Digest> names, long nowMicros) {
         int held = 0;
         while (held < names.size() && catalog.isHeld(names.get(held))) {
             held++;
         }
-        if (held == names.size() || catalog.sights(names.get(held)) == 0) {
+        if (held == names.size() || catalog.uses(names.get(held)) == 0) {
             return held;
         }
-        Digest freed = names.get(held);
-        while (held > 0 && !catalog.isUsedSince(names.get(held - 1), freed)) {
+        Digest evicted = names.get(held);
+        while (held > 0 && !catalog.isUsedAfter(names.get(held - 1), evicted)) {
             held--;
             catalog.setHeld(names.get(held), false, nowMicros);
         }
         return held;
     }
 
-    /** A block whose fetch runs needs no lookup. */
-    private boolean isAskable(Digest block) {
-        return moves.fetching(block) == null;
+    /** A block whose fetch is in flight needs no lookup. */
+    private boolean needsLookup(Digest block) {
+        return moves.fetchInFlight(block) == null;
     }
 
     private long missingTokens(ContextPrompt prompt, int held) {
@@ -210,7 +220,7 @@
             Preparation preparation = all.next();
             if (preparation.isReady(nowMicros)) {
                 all.remove();
-                unplan(preparation);
+                releasePending(preparation);
                 ready.add(preparation.ready(cache.pieceTokens()));
             }
         }
@@ -218,48 +228,48 @@
     }
 
     private void plan(Preparation preparation, long nowMicros) {
-        List<StoredAt> places = new ArrayList<>();
-        for (int index = preparation.first; index < preparation.names.size(); index++) {
-            boolean underWay = moves.fetching(preparation.names.get(index)) != null;
-            StoredAt place = preparation.found(index);
-            if (!underWay && place == null) {
+        List<BlockLocation> locations = new ArrayList<>();
+        for (int index = preparation.firstMissing; index < preparation.names.size(); index++) {
+            boolean inFlight = moves.fetchInFlight(preparation.names.get(index)) != null;
+            BlockLocation location = preparation.foundLocations(index);
+            if (!inFlight && location == null) {
                 break;
             }
-            places.add(underWay ? null : place);
+            locations.add(inFlight ? null : location);
         }
-        long missing = missingTokens(preparation.prompt, preparation.first);
+        long missing = missingTokens(preparation.prompt, preparation.firstMissing);
         long left = preparation.prompt.deadlineMicros() - nowMicros;
-        FetchPlan plan = FetchPlan.choose(places, targetBudget, cache, prefillSpeed, missing, left, nowMicros);
-        preparation.plan(places.subList(0, plan.blocks()), nowMicros + plan.boundMicros(left));
-        preparation.unstarted().forEach(place -> reserve(place, 1));
+        FetchPlan plan = FetchPlan.choose(locations, targetBudget, cache, prefillSpeed, missing, left, nowMicros);
+        preparation.plan(locations.subList(0, plan.blocks()), nowMicros + plan.maxWaitMicros(left));
+        preparation.unstarted().forEach(location -> addPending(location, 1));
         for (int index = 0; index < plan.blocks(); index++) {
-            Move fetch = moves.fetching(preparation.names.get(preparation.first + index));
+            Move fetch = moves.fetchInFlight(preparation.names.get(preparation.firstMissing + index));
             if (fetch != null) {
-                fetch.join(preparation, preparation.first + index);
+                fetch.addWaiter(preparation, preparation.firstMissing + index);
             }
         }
     }
 
-    private void unplan(Preparation preparation) {
-        preparation.unstarted().forEach(place -> reserve(place, -1));
+    private void releasePending(Preparation preparation) {
+        preparation.unstarted().forEach(location -> addPending(location, -1));
     }
 
-    private void reserve(StoredAt place, int sign) {
-        targetBudget.plan(sign * place.block().bytes());
-        place.store().budget.plan(sign * place.block().bytes());
+    private void addPending(BlockLocation location, int sign) {
+        targetBudget.addPending(sign * location.block().bytes());
+        location.store().budget.addPending(sign * location.block().bytes());
     }
 
     private void startMoves(long nowMicros, Consumer<? super CompanionEffect> effects) {
         for (Preparation preparation : preparations.values()) {
             startFetches(preparation, nowMicros, effects);
         }
-        long bytes = Math.max(largestBytes, cache.pieceBytes());
-        exports.start(stores.all(), address, bytes, nowMicros, effects);
+        long bytes = Math.max(maxBlockBytes, cache.pieceBytes());
+        exports.startExports(stores.all(), address, bytes, nowMicros, effects);
     }
 
     private void startFetches(Preparation preparation, long nowMicros, Consumer<? super CompanionEffect> effects) {
         int index = preparation.nextIndex();
-        while (index >= 0 && preparation.underWay() < FETCHES_AT_ONCE) {
+        while (index >= 0 && preparation.fetchesInFlight() < MAX_FETCHES_PER_PROMPT) {
             if (!startFetch(preparation, index, nowMicros, effects)) {
                 return;
             }
@@ -268,64 +278,65 @@
     }
 
     /**
-     * Starts or joins the fetch of one block; returns false if it has to wait for a link. Joining guards against many
-     * prompts of one context that return together flooding a link with copies of the same block.
+     * Starts or joins the fetch of one block; returns false if it must wait for a link. Without joining, many
+     * prompts with the same context that arrive together would flood a link with copies of the same block.
      */
     private boolean startFetch(
             Preparation preparation, int index, long nowMicros, Consumer<? super CompanionEffect> effects) {
         Digest block = preparation.names.get(index);
-        StoredAt place = preparation.place(index);
-        Move fetch = moves.fetching(block);
-        if (fetch != null || place == null || catalog.isHeld(block)) {
-            preparation.started(index, 0);
+        BlockLocation location = preparation.plannedLocation(index);
+        Move fetch = moves.fetchInFlight(block);
+        if (fetch != null || location == null || catalog.isHeld(block)) {
+            preparation.onStarted(index, 0);
             if (fetch != null) {
-                fetch.join(preparation, index);
+                fetch.addWaiter(preparation, index);
             } else {
-                preparation.settled(index, catalog.isHeld(block));
+                preparation.onFetchEnded(index, catalog.isHeld(block));
             }
         } else {
             Digest parent = index == 0 ? preparation.prompt.root() : preparation.names.get(index - 1);
             String version = preparation.prompt.weightVersion();
-            fetch = moves.fetch(place, address, parent, version, nowMicros, effects);
+            fetch = moves.startFetch(location, address, parent, version, nowMicros, effects);
             if (fetch == null) {
                 return false;
             }
-            fetch.join(preparation, index);
-            preparation.started(index, place.block().bytes());
+            fetch.addWaiter(preparation, index);
+            preparation.onStarted(index, location.block().bytes());
         }
-        if (place != null) {
-            reserve(place, -1);
+        if (location != null) {
+            addPending(location, -1);
         }
         return true;
     }
 
-    private void settle(CompanionEvent.MoveEnded ended, long nowMicros, Consumer<? super CompanionEffect> effects) {
+    private void endMove(CompanionEvent.MoveEnded ended, long nowMicros, Consumer<? super CompanionEffect> effects) {
         Move move = moves.end(ended, nowMicros);
         if (move == null) {
             return;
         }
         MoveOutcome outcome = ended.outcome();
-        largestBytes = Math.max(largestBytes, ended.bytes());
-        if (!move.fetch) {
-            exports.ended(move, outcome, nowMicros, effects);
+        maxBlockBytes = Math.max(maxBlockBytes, ended.bytes());
+        if (!move.isFetch) {
+            exports.onEnded(move, outcome, nowMicros, effects);
             return;
         }
         StoreLink store = move.store;
         switch (outcome) {
             case DONE -> {
                 catalog.setHeld(move.block, true, nowMicros);
-                store.health.answered();
-                store.speed.add(ended.bytes(), nowMicros - move.startMicros);
+                store.circuitBreaker.onSuccess();
+                store.throughput.add(ended.bytes(), nowMicros - move.startMicros);
             }
             case CORRUPT -> {
-                // A slot that was reused while it was read, or damage: whatever is there now is not worth a try.
+                // The slot was reused while it was read, or the block is damaged: in both cases the store's copy is
+                // useless.
                 catalog.clearStore(move.block, store.index);
                 effects.accept(new CompanionEffect.DropBlock(store.address, move.block));
             }
             case GONE -> catalog.clearStore(move.block, store.index);
-            case UNREACHABLE -> store.health.failed(nowMicros);
-            default -> store.health.answered();
+            case UNREACHABLE -> store.circuitBreaker.onFailure(nowMicros);
+            default -> store.circuitBreaker.onSuccess();
         }
-        move.settle(outcome == MoveOutcome.DONE);
+        move.complete(outcome == MoveOutcome.DONE);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/TargetStores.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/TargetStores.java
@@ -6,9 +6,9 @@
 import org.rattanrudder.core.document.ServiceDocument;
 import org.rattanrudder.core.document.StoreSettings;
 
-/** The stores that a target's document names, each with the target's share of its link. */
+/** The stores in a target's document, each with the target's share of its link. */
 final class TargetStores {
-    private static final int STORE_INDEXES = 100;
+    private static final int MAX_STORE_INDEXES = 100;
 
     private final BlockCatalog catalog;
     private final RandomGenerator random;
@@ -20,36 +20,39 @@
         this.random = random;
     }
 
-    /** Takes up a document. A store that stays keeps its health and what counts against its link. */
-    void serve(ServiceDocument document, long nowMicros) {
-        List<StoreLink> served = new ArrayList<>();
+    /**
+     * Updates the stores from a document. A store that remains keeps its circuit breaker and the bytes counted
+     * against its link.
+     */
+    void update(ServiceDocument document, long nowMicros) {
+        List<StoreLink> updated = new ArrayList<>();
         for (StoreSettings settings : document.stores()) {
             long share = settings.linkBytesPerSecond() / document.targets().size();
-            StoreLink known = stores.stream()
+            StoreLink link = stores.stream()
                     .filter(store -> store.isSameAs(settings))
                     .findFirst()
                     .orElseGet(() -> add(settings, share, nowMicros));
-            known.budget.change(share, nowMicros);
-            served.add(known);
+            link.budget.updateLimit(share, nowMicros);
+            updated.add(link);
         }
-        stores = List.copyOf(served);
+        stores = List.copyOf(updated);
     }
 
     List<StoreLink> all() {
         return stores;
     }
 
-    /** Returns the speed of the store that is measured as the fastest, in bytes per second; 0 if none is measured. */
+    /** Returns the highest measured throughput of a store, in bytes per second; 0 if none is measured. */
     long fastestBytesPerSecond() {
         return stores.stream()
-                .mapToLong(store -> store.speed.measuredPerSecond())
+                .mapToLong(store -> store.throughput.measuredPerSecond())
                 .max()
                 .orElse(0);
     }
 
     private StoreLink add(StoreSettings settings, long share, long nowMicros) {
-        int index = nextIndex++ % STORE_INDEXES;
-        catalog.forgetStore(index);
+        int index = nextIndex++ % MAX_STORE_INDEXES;
+        catalog.clearAllStored(index);
         return new StoreLink(index, settings, share, random, nowMicros);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/ThroughputMeter.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/ThroughputMeter.java
@@ -1,13 +1,13 @@
 package org.rattanrudder.core.cache;
 
-/** A measured speed in units a second: each new sample counts for a fifth. */
-final class SpeedMeter {
+/** An exponentially smoothed throughput in units per second: each new sample has a weight of a fifth. */
+final class ThroughputMeter {
     private static final double NEWEST_WEIGHT = 0.2;
 
     private double perSecond;
     private boolean measured;
 
-    SpeedMeter(double assumedPerSecond) {
+    ThroughputMeter(double assumedPerSecond) {
         this.perSecond = Math.max(1, assumedPerSecond);
     }
 
@@ -18,12 +18,12 @@
         }
     }
 
-    /** Returns the measured speed; 0 before the first sample. */
+    /** Returns the measured throughput; 0 before the first sample. */
     long measuredPerSecond() {
         return measured ? Math.round(perSecond) : 0;
     }
 
-    /** Returns how long so many units take, in microseconds. */
+    /** Returns how long this many units take, in microseconds. */
     long micros(long units) {
         return (long) (units * 1e6 / perSecond);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/cache/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Context that returns after gaps: what to fetch, recompute, export and give up.
+ * The context cache: which blocks of a prompt to fetch, recompute, export or evict.
  *
- * <p>Front class: {@link org.rattanrudder.core.cache.BlockMover}.
+ * <p>Main class: {@link org.rattanrudder.core.cache.BlockMover}.
  */
 package org.rattanrudder.core.cache;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockCatalogTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockCatalogTest.java
@@ -18,15 +18,15 @@
     private static final long MINUTE = 60_000_000;
 
     @Property(seed = "41", tries = 50)
-    void withinItsBoundItBelievesWhatAPlainMapDoes(@ForAll @IntRange(max = 1_000_000) int seed) {
+    void belowItsCapacityItBehavesLikeAMap(@ForAll @IntRange(max = 1_000_000) int seed) {
         Random random = new Random(seed);
-        BlockCatalog catalog = new BlockCatalog(BLOCKS, KeepValue.RETURN_RATE, random);
+        BlockCatalog catalog = new BlockCatalog(BLOCKS, RetentionScore.RETURN_RATE, random);
         Map<Digest, Boolean> held = new HashMap<>();
         Map<Digest, Integer> stores = new HashMap<>();
         for (int step = 0; step < 3_000; step++) {
             Digest block = block(random.nextInt(BLOCKS));
             boolean value = random.nextBoolean();
-            catalog.see(block, 0, step * MINUTE);
+            catalog.recordUse(block, 0, step * MINUTE);
             catalog.setHeld(block, value, step * MINUTE);
             held.put(block, value);
             if (value) {
@@ -42,35 +42,35 @@
     }
 
     /**
-     * A process grows until it is killed, or a store fills with blocks that nobody remembers: far more blocks are seen
-     * than the catalog may keep.
+     * Far more blocks are used than the catalog may keep. Without a bound, the process would run out of memory;
+     * without keeping stored blocks, a store would fill with blocks that are never freed.
      */
     @Property(seed = "42", tries = 20)
-    void beyondItsBoundItForgetsOnlyBlocksThatNoStoreHolds(@ForAll @IntRange(max = 1_000_000) int seed) {
+    void aboveItsCapacityItEvictsOnlyBlocksThatNoStoreHolds(@ForAll @IntRange(max = 1_000_000) int seed) {
         Random random = new Random(seed);
-        BlockCatalog catalog = new BlockCatalog(BLOCKS, KeepValue.RETURN_RATE, random);
-        long largest = catalog.bytes();
+        BlockCatalog catalog = new BlockCatalog(BLOCKS, RetentionScore.RETURN_RATE, random);
+        long maxBytes = catalog.bytes();
         Set<Digest> stored = new HashSet<>();
         for (int index = 0; index < 20_000; index++) {
             Digest block = block(index);
-            catalog.see(block, 0, index * MINUTE);
+            catalog.recordUse(block, 0, index * MINUTE);
             if (index % 100 == 0) {
                 catalog.setStore(block, 0, index * MINUTE);
                 stored.add(block);
             }
-            largest = Math.max(largest, catalog.bytes());
+            maxBytes = Math.max(maxBytes, catalog.bytes());
         }
-        assertThat(largest).isLessThanOrEqualTo(2L * BLOCKS * BlockCatalog.BYTES_PER_SLOT);
+        assertThat(maxBytes).isLessThanOrEqualTo(2L * BLOCKS * BlockCatalog.BYTES_PER_SLOT);
         assertThat(stored).allMatch(block -> catalog.store(block) == 0);
     }
 
     @Test
-    void ofTwoBlocksTheOneThatReturnedOftenerIsWorthMoreToAStore() {
-        BlockCatalog catalog = new BlockCatalog(BLOCKS, KeepValue.RETURN_RATE, new Random(1));
+    void aBlockThatIsReusedMoreOftenIsMoreValuable() {
+        BlockCatalog catalog = new BlockCatalog(BLOCKS, RetentionScore.RETURN_RATE, new Random(1));
         for (int hour = 0; hour < 5; hour++) {
-            catalog.see(block(1), 0, hour * 60 * MINUTE);
+            catalog.recordUse(block(1), 0, hour * 60 * MINUTE);
         }
-        catalog.see(block(2), 0, 4 * 60 * MINUTE);
+        catalog.recordUse(block(2), 0, 4 * 60 * MINUTE);
         catalog.setStore(block(1), 0, 0);
         catalog.setStore(block(2), 0, 0);
 
@@ -79,10 +79,10 @@
     }
 
     @Test
-    void ofBlocksOfTheSameValueTheDeepestIsGivenUpFirst() {
-        BlockCatalog catalog = new BlockCatalog(BLOCKS, KeepValue.RETURN_RATE, new Random(1));
+    void theDeepestOfEquallyValuableBlocksIsEvictedFirst() {
+        BlockCatalog catalog = new BlockCatalog(BLOCKS, RetentionScore.RETURN_RATE, new Random(1));
         for (int depth = 0; depth < 8; depth++) {
-            catalog.see(block(depth), depth, MINUTE);
+            catalog.recordUse(block(depth), depth, MINUTE);
             catalog.setStore(block(depth), 0, MINUTE);
         }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverFixture.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverFixture.java
@@ -27,8 +27,8 @@
 import org.rattanrudder.core.model.ServiceName;
 import org.rattanrudder.core.model.TargetName;
 
-/** A mover with one target and two small stores that a test answers for. */
-final class CacheRig {
+/** A mover with one target and two small simulated stores. */
+final class BlockMoverFixture {
     static final int PIECE_TOKENS = 2000;
     static final long PIECE_BYTES = 2_000_000;
     static final TargetName TARGET = new TargetName("verdict-1");
@@ -45,11 +45,11 @@
     private long sequence;
     private long generation;
 
-    CacheRig() {
+    BlockMoverFixture() {
         this(CacheSettings.Favour.RECOMPUTE, 20_000, MoverPolicy.DEFAULT);
     }
 
-    CacheRig(CacheSettings.Favour favour, long prefillTokensPerSecond, MoverPolicy policy) {
+    BlockMoverFixture(CacheSettings.Favour favour, long prefillTokensPerSecond, MoverPolicy policy) {
         document = document(favour, prefillTokensPerSecond, 1, 200_000_000);
         mover = new BlockMover(policy, 4096, new Random(5));
         document.stores().forEach(store -> stores.put(store.address(), new LinkedHashMap<>()));
@@ -107,21 +107,21 @@
         ready.addAll(mover.handle(event, now, effects::add));
     }
 
-    void tick(long laterMicros) {
-        now += laterMicros;
+    void tick(long elapsedMicros) {
+        now += elapsedMicros;
         handle(new CompanionEvent.Tick());
     }
 
-    void ended(ContextPrompt prompt) {
+    void complete(ContextPrompt prompt) {
         mover.onCompleted(prompt, prompt.weightVersion(), 0, now, effects::add);
     }
 
-    /** Runs a prompt to its end with working stores, and lets the engine then free all that it holds. */
+    /** Runs a prompt with working stores, then evicts all blocks from the engine. */
     void runAndEvict(ContextPrompt prompt) {
         prepare(prompt);
-        carryOut();
-        ended(prompt);
-        carryOut();
+        perform();
+        complete(prompt);
+        perform();
         evict();
     }
 
@@ -129,11 +129,11 @@
         handle(new CompanionEvent.CacheEventsReported(TARGET, true, List.of()));
     }
 
-    /** Carries out all effects as working stores would, one after the other, until none is left. */
-    void carryOut() {
+    /** Performs all effects one after the other, as working stores would, until none is left. */
+    void perform() {
         for (int round = 0; round < 2000; round++) {
-            List<CompanionEffect> now = take(CompanionEffect.class);
-            now.forEach(this::carryOut);
+            List<CompanionEffect> now = takeEffects(CompanionEffect.class);
+            now.forEach(this::perform);
             if (now.isEmpty()) {
                 if (mover.isIdle()) {
                     return;
@@ -141,10 +141,10 @@
                 tick(50_000);
             }
         }
-        throw new AssertionError("the mover doesn't come to rest");
+        throw new AssertionError("the mover doesn't become idle");
     }
 
-    void carryOut(CompanionEffect effect) {
+    void perform(CompanionEffect effect) {
         now += stepMicros;
         if (effect instanceof CompanionEffect.LookUpBlocks lookup) {
             List<StoredBlock> found = lookup.blocks().stream()
@@ -153,16 +153,16 @@
                     .toList();
             handle(new CompanionEvent.BlockLookupEnded(lookup.lookup(), found, true));
         } else if (effect instanceof CompanionEffect.FetchBlock fetch) {
-            boolean there = fetch.block()
+            boolean isStored = fetch.block()
                     .equals(stores.get(fetch.store()).get(fetch.block().block()));
-            end(fetch.move(), there ? MoveOutcome.DONE : MoveOutcome.GONE);
+            endMove(fetch.move(), isStored ? MoveOutcome.DONE : MoveOutcome.GONE);
         } else if (effect instanceof CompanionEffect.ExportBlock export) {
             Map<Digest, StoredBlock> store = stores.get(export.store());
             boolean full = store.size() >= capacities.getOrDefault(export.store(), Integer.MAX_VALUE);
             if (!full) {
                 store.put(export.block(), stored(export.block()));
             }
-            end(export.move(), full ? MoveOutcome.FULL : MoveOutcome.DONE);
+            endMove(export.move(), full ? MoveOutcome.FULL : MoveOutcome.DONE);
         } else if (effect instanceof CompanionEffect.DropBlock drop) {
             stores.get(drop.store()).remove(drop.block());
         }
@@ -172,16 +172,16 @@
         return new StoredBlock(block, 7, ++generation, PIECE_BYTES, Digest.of("content", block.toHex()));
     }
 
-    void end(long move, MoveOutcome outcome) {
+    void endMove(long move, MoveOutcome outcome) {
         long bytes = outcome == MoveOutcome.DONE || outcome == MoveOutcome.CORRUPT ? PIECE_BYTES : 0;
         handle(new CompanionEvent.MoveEnded(move, outcome, bytes));
     }
 
-    /** Returns and removes the effects of one kind that weren't taken yet. */
-    <F extends CompanionEffect> List<F> take(Class<F> kind) {
-        List<F> taken =
+    /** Returns and removes the pending effects of one type. */
+    <F extends CompanionEffect> List<F> takeEffects(Class<F> kind) {
+        List<F> removed =
                 effects.stream().filter(kind::isInstance).map(kind::cast).toList();
         effects.removeIf(kind::isInstance);
-        return taken;
+        return removed;
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverPropertiesTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverPropertiesTest.java
@@ -23,42 +23,42 @@
 
 class BlockMoverPropertiesTest {
     private static final long TICK_MICROS = 50_000;
-    /** Half the time to the deadline, and the waits for a lookup and for the ticks that find both over. */
-    private static final long LONGEST_WAIT_MICROS = 15_000_000 + Lookups.LONGEST_MICROS + 3 * TICK_MICROS;
+    /** Half the time to the deadline, the lookup timeout, and the ticks that detect the end of both. */
+    private static final long MAX_WAIT_MICROS = 15_000_000 + Lookups.MAX_WAIT_MICROS + 3 * TICK_MICROS;
 
     @Property(seed = "31", tries = 40)
-    void withRoomAndWithoutFaultsOnlyWhatIsNewIsComputed(@ForAll @IntRange(max = 1_000_000) int seed) {
-        CacheRig rig = new CacheRig();
+    void withFreeSpaceAndNoFailuresOnlyNewBlocksAreComputed(@ForAll @IntRange(max = 1_000_000) int seed) {
+        BlockMoverFixture rig = new BlockMoverFixture();
         Random random = new Random(seed);
         Set<Digest> computed = new HashSet<>();
-        for (int turn = 0; turn < 30; turn++) {
+        for (int round = 0; round < 30; round++) {
             ContextPrompt prompt = rig.prompt("dossier-" + random.nextInt(5), 1 + random.nextInt(12));
             long seenBefore =
                     prompt.blocks().stream().filter(computed::contains).count();
             rig.ready.clear();
             rig.runAndEvict(prompt);
 
-            assertThat(rig.ready.get(0).fetchedTokens()).isEqualTo(seenBefore * CacheRig.PIECE_TOKENS);
+            assertThat(rig.ready.get(0).fetchedTokens()).isEqualTo(seenBefore * BlockMoverFixture.PIECE_TOKENS);
             computed.addAll(prompt.blocks());
-            rig.tick(CacheRig.MINUTE);
+            rig.tick(BlockMoverFixture.MINUTE);
         }
     }
 
     /**
-     * Prompts of several customers and versions come and go while answers are lost, late or in any order, moves fail,
-     * stores hold what they like, and the engine's events have gaps.
+     * Prompts of several customers and versions arrive and are cancelled while responses are lost, late or
+     * reordered, moves fail, stores hold arbitrary blocks, and the engine's events have gaps.
      */
     @Property(seed = "32", tries = 150)
-    void whateverHappensPromptsGoInTimeAndFetchesAreTheirOwn(@ForAll @IntRange(max = 1_000_000) int seed) {
+    void promptsAreReadyInTimeAndFetchOnlyTheirOwnBlocksUnderFailures(@ForAll @IntRange(max = 1_000_000) int seed) {
         List<CompanionEffect> effects = new Interleaving(seed).run();
         assertThat(effects).isEqualTo(new Interleaving(seed).run());
     }
 
     private static final class Interleaving {
-        private final CacheRig rig = new CacheRig();
+        private final BlockMoverFixture fixture = new BlockMoverFixture();
         private final Random random;
-        private final List<CompanionEffect> open = new ArrayList<>();
-        private final List<CompanionEffect> all = new ArrayList<>();
+        private final List<CompanionEffect> pendingEffects = new ArrayList<>();
+        private final List<CompanionEffect> allEffects = new ArrayList<>();
         private final Map<AttemptId, Long> waiting = new HashMap<>();
         private final Map<Digest, Digest> parents = new HashMap<>();
         private final Map<Digest, String> versions = new HashMap<>();
@@ -75,39 +75,39 @@
                 step();
                 check();
             }
-            for (long waited = 0; waited < LONGEST_WAIT_MICROS; waited += TICK_MICROS) {
-                rig.tick(TICK_MICROS);
+            for (long waited = 0; waited < MAX_WAIT_MICROS; waited += TICK_MICROS) {
+                fixture.tick(TICK_MICROS);
                 check();
             }
             assertThat(waiting).isEmpty();
-            return all;
+            return allEffects;
         }
 
         private void step() {
-            rig.now += random.nextInt(20_000);
-            if (rig.now - lastTickMicros >= TICK_MICROS) {
-                lastTickMicros = rig.now;
-                rig.tick(0);
+            fixture.now += random.nextInt(20_000);
+            if (fixture.now - lastTickMicros >= TICK_MICROS) {
+                lastTickMicros = fixture.now;
+                fixture.tick(0);
                 check();
             }
             int choice = random.nextInt(20);
             if (choice < 4) {
                 prepare();
             } else if (choice == 6) {
-                rig.evict();
+                fixture.evict();
             } else if (choice == 7 && !waiting.isEmpty()) {
                 AttemptId attempt = waiting.keySet().iterator().next();
-                rig.mover.cancel(CacheRig.TARGET, attempt);
+                fixture.mover.cancel(BlockMoverFixture.TARGET, attempt);
                 waiting.remove(attempt);
-            } else if (!open.isEmpty()) {
-                answer(open.remove(random.nextInt(open.size())));
+            } else if (!pendingEffects.isEmpty()) {
+                answer(pendingEffects.remove(random.nextInt(pendingEffects.size())));
             }
         }
 
         private void prepare() {
             String customer = "mine-" + random.nextInt(6) / 5;
             String version = "v" + random.nextInt(6) / 5;
-            ContextPrompt prompt = rig.prompt(
+            ContextPrompt prompt = fixture.prompt(
                     customer, "verdict-llm", version, "dossier-" + random.nextInt(2), 1 + random.nextInt(12));
             Digest parent = prompt.root();
             for (Digest block : prompt.blocks()) {
@@ -115,10 +115,10 @@
                 versions.put(block, version);
                 parent = block;
             }
-            waiting.put(prompt.attempt(), rig.now);
-            rig.prepare(prompt);
+            waiting.put(prompt.attempt(), fixture.now);
+            fixture.prepare(prompt);
             if (random.nextBoolean()) {
-                rig.ended(prompt);
+                fixture.complete(prompt);
             }
         }
 
@@ -129,10 +129,10 @@
                 boolean lost = random.nextInt(10) == 0;
                 if (!lost) {
                     fetching.remove(fetch.block().block());
-                    rig.end(fetch.move(), outcome());
+                    fixture.endMove(fetch.move(), outcome());
                 }
             } else if (effect instanceof CompanionEffect.ExportBlock export && random.nextInt(10) > 0) {
-                rig.end(export.move(), outcome());
+                fixture.endMove(export.move(), outcome());
             }
         }
 
@@ -140,13 +140,14 @@
             List<StoredBlock> found = new ArrayList<>();
             for (Digest block : lookup.blocks()) {
                 if (random.nextInt(4) > 0) {
-                    found.add(rig.stored(block));
+                    found.add(fixture.stored(block));
                 }
             }
-            found.add(rig.stored(Digest.of("crossed", Integer.toString(random.nextInt()))));
+            found.add(fixture.stored(Digest.of("crossed", Integer.toString(random.nextInt()))));
             described.addAll(found);
             boolean answered = random.nextInt(5) > 0;
-            rig.handle(new CompanionEvent.BlockLookupEnded(lookup.lookup(), answered ? found : List.of(), answered));
+            fixture.handle(
+                    new CompanionEvent.BlockLookupEnded(lookup.lookup(), answered ? found : List.of(), answered));
         }
 
         private MoveOutcome outcome() {
@@ -156,17 +157,17 @@
         }
 
         private void check() {
-            for (ContextReady ready : rig.ready) {
+            for (ContextReady ready : fixture.ready) {
                 Long since = waiting.remove(ready.attempt());
                 assertThat(since)
-                        .as("ready once, and not after it was given up")
+                        .as("ready once, and not after it was cancelled")
                         .isNotNull();
-                assertThat(rig.now - since).isLessThanOrEqualTo(LONGEST_WAIT_MICROS);
+                assertThat(fixture.now - since).isLessThanOrEqualTo(MAX_WAIT_MICROS);
             }
-            rig.ready.clear();
-            for (CompanionEffect effect : rig.take(CompanionEffect.class)) {
-                all.add(effect);
-                open.add(effect);
+            fixture.ready.clear();
+            for (CompanionEffect effect : fixture.takeEffects(CompanionEffect.class)) {
+                allEffects.add(effect);
+                pendingEffects.add(effect);
                 if (effect instanceof FetchBlock fetch) {
                     checkFetch(fetch);
                 }
@@ -178,8 +179,8 @@
             assertThat(described).contains(fetch.block());
             assertThat(fetch.parent()).isEqualTo(parents.get(block));
             assertThat(fetch.weightVersion()).isEqualTo(versions.get(block));
-            Long before = fetching.put(block, rig.now);
-            assertThat(before == null || rig.now - before >= CompanionEffect.MOVE_TIMEOUT_MICROS)
+            Long before = fetching.put(block, fixture.now);
+            assertThat(before == null || fixture.now - before >= CompanionEffect.MOVE_TIMEOUT_MICROS)
                     .as("one fetch of a block at a time")
                     .isTrue();
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/BlockMoverTest.java
@@ -22,335 +22,343 @@
 import org.rattanrudder.core.model.Digest;
 
 class BlockMoverTest {
-    private static final long BOUND_MICROS = 2_000_000;
+    private static final long MAX_WAIT_MICROS = 2_000_000;
 
-    private final CacheRig rig = new CacheRig();
+    private final BlockMoverFixture fixture = new BlockMoverFixture();
 
     @Test
-    void contextThatReturnsAfterItsEvictionIsFetchedWhole() {
-        rig.runAndEvict(rig.prompt("dossier", 12));
-        rig.ready.clear();
-        rig.tick(60 * CacheRig.MINUTE);
-
-        ContextPrompt returning = rig.prompt("dossier", 12);
-        rig.prepare(returning);
-        rig.carryOut();
-
-        assertThat(rig.ready)
-                .containsExactly(
-                        new ContextReady(returning.attempt(), 12 * CacheRig.PIECE_TOKENS, 12 * CacheRig.PIECE_BYTES));
+    void evictedContextIsFetchedCompletely() {
+        fixture.runAndEvict(fixture.prompt("dossier", 12));
+        fixture.ready.clear();
+        fixture.tick(60 * BlockMoverFixture.MINUTE);
+
+        ContextPrompt returning = fixture.prompt("dossier", 12);
+        fixture.prepare(returning);
+        fixture.perform();
+
+        assertThat(fixture.ready)
+                .containsExactly(new ContextReady(
+                        returning.attempt(), 12 * BlockMoverFixture.PIECE_TOKENS, 12 * BlockMoverFixture.PIECE_BYTES));
     }
 
     @Test
-    void contextThatTheEngineHoldsIsNeitherLookedUpNorFetched() {
-        ContextPrompt first = rig.prompt("dossier", 12);
-        rig.prepare(first);
-        rig.carryOut();
-        rig.ended(first);
-        rig.carryOut();
-        rig.ready.clear();
-
-        ContextPrompt second = rig.prompt("dossier", 12);
-        rig.prepare(second);
-
-        assertThat(rig.effects).isEmpty();
-        assertThat(rig.ready).containsExactly(new ContextReady(second.attempt(), 0, 0));
+    void contextHeldByTheEngineIsNeitherLookedUpNorFetched() {
+        ContextPrompt first = fixture.prompt("dossier", 12);
+        fixture.prepare(first);
+        fixture.perform();
+        fixture.complete(first);
+        fixture.perform();
+        fixture.ready.clear();
+
+        ContextPrompt second = fixture.prompt("dossier", 12);
+        fixture.prepare(second);
+
+        assertThat(fixture.effects).isEmpty();
+        assertThat(fixture.ready).containsExactly(new ContextReady(second.attempt(), 0, 0));
     }
 
     /**
-     * A breaking context returns for many callers at once, and each would fetch the same blocks over the same link.
-     * All prompts arrive while the first one's blocks are on their way.
+     * Many callers request the same context at once, and each would fetch the same blocks over the same link. All
+     * prompts arrive while the blocks of the first one are being fetched.
      */
     @Test
-    void promptsOfOneContextShareItsFetches() {
-        rig.runAndEvict(rig.prompt("dossier", 6));
-        rig.ready.clear();
-        rig.stepMicros = 100;
+    void promptsWithTheSameContextShareItsFetches() {
+        fixture.runAndEvict(fixture.prompt("dossier", 6));
+        fixture.ready.clear();
+        fixture.stepMicros = 100;
         for (int prompt = 0; prompt < 20; prompt++) {
-            rig.prepare(rig.prompt("dossier", 6));
+            fixture.prepare(fixture.prompt("dossier", 6));
         }
-        rig.take(LookUpBlocks.class).forEach(rig::carryOut);
+        fixture.takeEffects(LookUpBlocks.class).forEach(fixture::perform);
         List<Digest> fetched = new ArrayList<>();
-        List<FetchBlock> fetches = rig.take(FetchBlock.class);
+        List<FetchBlock> fetches = fixture.takeEffects(FetchBlock.class);
         while (!fetches.isEmpty()) {
             fetches.forEach(fetch -> fetched.add(fetch.block().block()));
-            fetches.forEach(rig::carryOut);
-            fetches = rig.take(FetchBlock.class);
+            fetches.forEach(fixture::perform);
+            fetches = fixture.takeEffects(FetchBlock.class);
         }
 
         assertThat(fetched).hasSize(6).doesNotHaveDuplicates();
-        assertThat(rig.ready).hasSize(20).allMatch(each -> each.fetchedTokens() == 6 * CacheRig.PIECE_TOKENS);
+        assertThat(fixture.ready)
+                .hasSize(20)
+                .allMatch(each -> each.fetchedTokens() == 6 * BlockMoverFixture.PIECE_TOKENS);
     }
 
     /**
-     * A depot or mine would read another's context: the same text was cached for one customer, one service or one
-     * weight version, and returns under another. Names that leave one of them out would find it.
+     * Text that was cached for one customer, service or weight version is requested under another. If block names
+     * left one of the three out, it would be fetched, and one customer could read another's context.
      */
     @ParameterizedTest
     @CsvSource({"mine-8, verdict-llm, v1", "mine-7, summary-llm, v1", "mine-7, verdict-llm, v2"})
-    void sameTextOfAnotherCustomerServiceOrVersionIsNeverFetched(String customer, String service, String version) {
-        rig.runAndEvict(rig.prompt("mine-7", "verdict-llm", "v1", "dossier", 6));
-        rig.ready.clear();
+    void sameTextOfAnotherCustomerServiceOrWeightVersionIsNeverFetched(
+            String customer, String service, String version) {
+        fixture.runAndEvict(fixture.prompt("mine-7", "verdict-llm", "v1", "dossier", 6));
+        fixture.ready.clear();
 
-        rig.prepare(rig.prompt(customer, service, version, "dossier", 6));
-        rig.carryOut(rig.take(LookUpBlocks.class).get(0));
-        rig.tick(BOUND_MICROS);
+        fixture.prepare(fixture.prompt(customer, service, version, "dossier", 6));
+        fixture.perform(fixture.takeEffects(LookUpBlocks.class).get(0));
+        fixture.tick(MAX_WAIT_MICROS);
 
-        assertThat(rig.take(FetchBlock.class)).isEmpty();
-        assertThat(rig.ready).hasSize(1).allMatch(each -> each.fetchedTokens() == 0);
+        assertThat(fixture.takeEffects(FetchBlock.class)).isEmpty();
+        assertThat(fixture.ready).hasSize(1).allMatch(each -> each.fetchedTokens() == 0);
     }
 
     /**
-     * A verdict would rest on another context: a store answers a lookup with blocks that weren't asked for, because an
-     * answer got crossed or the store is at fault.
+     * A store answers a lookup with blocks that weren't requested, because responses were mixed up or the store is
+     * faulty. If they were used, an answer would be computed from another context.
      */
     @Test
-    void blocksThatWereNotAskedForAreIgnored() {
-        ContextPrompt prompt = rig.prompt("dossier", 2);
-        rig.prepare(prompt);
-        StoredBlock other = rig.stored(Digest.of("another"));
-        rig.take(LookUpBlocks.class)
+    void blocksThatWereNotRequestedAreIgnored() {
+        ContextPrompt prompt = fixture.prompt("dossier", 2);
+        fixture.prepare(prompt);
+        StoredBlock other = fixture.stored(Digest.of("another"));
+        fixture.takeEffects(LookUpBlocks.class)
                 .forEach(lookup ->
-                        rig.handle(new CompanionEvent.BlockLookupEnded(lookup.lookup(), List.of(other), true)));
+                        fixture.handle(new CompanionEvent.BlockLookupEnded(lookup.lookup(), List.of(other), true)));
 
-        assertThat(rig.effects).isEmpty();
-        assertThat(rig.ready).containsExactly(new ContextReady(prompt.attempt(), 0, 0));
+        assertThat(fixture.effects).isEmpty();
+        assertThat(fixture.ready).containsExactly(new ContextReady(prompt.attempt(), 0, 0));
     }
 
     /**
-     * A writer died half-way, a slot was reused while it was read, or the store was restarted: the daemon's check says
-     * so at the end of the move. The prompt must go on with what is in place and compute the rest.
+     * A writer failed half-way, a slot was reused while it was read, or the store was restarted: the daemon's
+     * verification reports it at the end of the move. The prompt must run with the blocks that were fetched and
+     * compute the rest.
      */
     @ParameterizedTest
     @EnumSource(
             value = MoveOutcome.class,
             names = {"GONE", "CORRUPT", "UNREACHABLE", "FULL"})
-    void blocksBehindOneThatCannotBeFetchedAreComputed(MoveOutcome outcome) {
-        rig.runAndEvict(rig.prompt("dossier", 4));
-        rig.ready.clear();
-        ContextPrompt prompt = rig.prompt("dossier", 4);
-        rig.prepare(prompt);
-        rig.take(LookUpBlocks.class).forEach(rig::carryOut);
-        List<FetchBlock> fetches = rig.take(FetchBlock.class);
-        rig.end(fetches.get(0).move(), MoveOutcome.DONE);
-        rig.end(fetches.get(1).move(), outcome);
-
-        assertThat(rig.ready)
-                .containsExactly(new ContextReady(prompt.attempt(), CacheRig.PIECE_TOKENS, 4 * CacheRig.PIECE_BYTES));
+    void blocksAfterAFailedFetchAreComputed(MoveOutcome outcome) {
+        fixture.runAndEvict(fixture.prompt("dossier", 4));
+        fixture.ready.clear();
+        ContextPrompt prompt = fixture.prompt("dossier", 4);
+        fixture.prepare(prompt);
+        fixture.takeEffects(LookUpBlocks.class).forEach(fixture::perform);
+        List<FetchBlock> fetches = fixture.takeEffects(FetchBlock.class);
+        fixture.endMove(fetches.get(0).move(), MoveOutcome.DONE);
+        fixture.endMove(fetches.get(1).move(), outcome);
+
+        assertThat(fixture.ready)
+                .containsExactly(new ContextReady(
+                        prompt.attempt(), BlockMoverFixture.PIECE_TOKENS, 4 * BlockMoverFixture.PIECE_BYTES));
     }
 
-    /** A bus waits at the pump: the end of a move is lost, and the prompt would wait for it for good. */
+    /** If the end of a move is lost, the prompt must not wait for it forever. */
     @Test
-    void aMoveThatNeverEndsHoldsUpNoPromptPastItsBound() {
-        rig.runAndEvict(rig.prompt("dossier", 4));
-        rig.ready.clear();
-        rig.prepare(rig.prompt("dossier", 4));
-        rig.take(LookUpBlocks.class).forEach(rig::carryOut);
-        List<FetchBlock> fetches = rig.take(FetchBlock.class);
-
-        rig.tick(BOUND_MICROS);
-        assertThat(rig.ready).hasSize(1).allMatch(each -> each.fetchedTokens() == 0);
-        fetches.forEach(fetch -> rig.end(fetch.move(), MoveOutcome.DONE));
-        assertThat(rig.ready).hasSize(1);
+    void aMoveThatNeverEndsDelaysNoPromptBeyondTheMaximumWait() {
+        fixture.runAndEvict(fixture.prompt("dossier", 4));
+        fixture.ready.clear();
+        fixture.prepare(fixture.prompt("dossier", 4));
+        fixture.takeEffects(LookUpBlocks.class).forEach(fixture::perform);
+        List<FetchBlock> fetches = fixture.takeEffects(FetchBlock.class);
+
+        fixture.tick(MAX_WAIT_MICROS);
+        assertThat(fixture.ready).hasSize(1).allMatch(each -> each.fetchedTokens() == 0);
+        fetches.forEach(fetch -> fixture.endMove(fetch.move(), MoveOutcome.DONE));
+        assertThat(fixture.ready).hasSize(1);
     }
 
-    /** Both stores are dead: prompts must not each wait for a lookup to time out. */
+    /** While both stores are unavailable, prompts must not each wait for the lookup timeout. */
     @Test
-    void whileBothStoresAreDeadPromptsGoAtOnce() {
-        rig.prepare(rig.prompt("dossier", 4));
-        rig.tick(Lookups.LONGEST_MICROS);
-        assertThat(rig.ready).hasSize(1);
-        rig.take(LookUpBlocks.class);
+    void promptsAreNotDelayedWhileBothStoresAreUnavailable() {
+        fixture.prepare(fixture.prompt("dossier", 4));
+        fixture.tick(Lookups.MAX_WAIT_MICROS);
+        assertThat(fixture.ready).hasSize(1);
+        fixture.takeEffects(LookUpBlocks.class);
 
-        rig.prepare(rig.prompt("other", 4));
+        fixture.prepare(fixture.prompt("other", 4));
 
-        assertThat(rig.take(LookUpBlocks.class)).isEmpty();
-        assertThat(rig.ready).hasSize(2);
+        assertThat(fixture.takeEffects(LookUpBlocks.class)).isEmpty();
+        assertThat(fixture.ready).hasSize(2);
     }
 
     @Test
-    void aStoreThatStaysDeadIsTriedLessAndLess() {
-        List<Long> tries = new ArrayList<>();
+    void anUnavailableStoreIsRetriedWithBackoff() {
+        List<Long> attempts = new ArrayList<>();
         for (int second = 0; second < 600; second++) {
-            rig.tick(1_000_000);
-            rig.prepare(rig.prompt("dossier", 4));
-            if (!rig.take(LookUpBlocks.class).isEmpty()) {
-                tries.add(rig.now);
+            fixture.tick(1_000_000);
+            fixture.prepare(fixture.prompt("dossier", 4));
+            if (!fixture.takeEffects(LookUpBlocks.class).isEmpty()) {
+                attempts.add(fixture.now);
             }
-            rig.tick(Lookups.LONGEST_MICROS);
+            fixture.tick(Lookups.MAX_WAIT_MICROS);
         }
 
-        assertThat(tries).hasSizeBetween(8, 50);
-        assertThat(rig.ready).hasSize(600);
+        assertThat(attempts).hasSizeBetween(8, 50);
+        assertThat(fixture.ready).hasSize(600);
     }
 
     /**
-     * The engine was restarted or its events were lost: it no longer holds what was believed, and the prompt would be
-     * recomputed though a store has it.
+     * The engine was restarted or its cache events were lost, so it no longer holds the blocks that were assumed.
+     * Without clearing them, the prompt would be recomputed though a store has it.
      */
     @Test
-    void aGapInTheEventsDropsWhatWasBelievedOfTheEngine() {
-        ContextPrompt first = rig.prompt("dossier", 4);
-        rig.prepare(first);
-        rig.carryOut();
-        rig.ended(first);
-        rig.carryOut();
-        rig.handle(new CompanionEvent.CacheEventsReported(CacheRig.TARGET, true, List.of()));
-
-        rig.prepare(rig.prompt("dossier", 4));
-        assertThat(rig.take(LookUpBlocks.class)).isNotEmpty();
+    void aGapInTheCacheEventsClearsTheBlocksHeldByTheEngine() {
+        ContextPrompt first = fixture.prompt("dossier", 4);
+        fixture.prepare(first);
+        fixture.perform();
+        fixture.complete(first);
+        fixture.perform();
+        fixture.handle(new CompanionEvent.CacheEventsReported(BlockMoverFixture.TARGET, true, List.of()));
+
+        fixture.prepare(fixture.prompt("dossier", 4));
+        assertThat(fixture.takeEffects(LookUpBlocks.class)).isNotEmpty();
     }
 
     /**
-     * A dossier returns when only its end has been freed, and its first token comes as late as if all had been: the
-     * engine frees the head to make room for the end that is fetched, and computes it again.
+     * A context is requested after only its end was evicted. If only the end were fetched, the engine would evict
+     * the head to make room and compute it again, and the first token would come as late as with nothing cached.
      */
     @Test
-    void ofAPromptWhoseEndWasFreedTheHeadIsFetchedToo() {
-        ContextPrompt first = holdAndFree(2);
-        rig.prepare(rig.prompt("dossier", 4));
+    void theHeadOfAPromptIsFetchedTooIfItsEndWasEvicted() {
+        ContextPrompt first = runAndEvictFrom(2);
+        fixture.prepare(fixture.prompt("dossier", 4));
 
-        assertThat(rig.take(LookUpBlocks.class))
+        assertThat(fixture.takeEffects(LookUpBlocks.class))
                 .allSatisfy(lookup -> assertThat(lookup.blocks()).isEqualTo(first.blocks()));
     }
 
     @Test
-    void aHeadThatOthersUsedSinceCountsAsHeld() {
-        ContextPrompt first = holdAndFree(2);
-        rig.tick(CacheRig.MINUTE);
-        rig.prepare(rig.prompt("dossier", 2));
-        assertThat(rig.take(LookUpBlocks.class)).isEmpty();
-
-        rig.tick(CacheRig.MINUTE);
-        rig.prepare(rig.prompt("dossier", 4));
-        assertThat(rig.take(LookUpBlocks.class))
+    void aHeadThatOtherPromptsUsedLaterCountsAsHeld() {
+        ContextPrompt first = runAndEvictFrom(2);
+        fixture.tick(BlockMoverFixture.MINUTE);
+        fixture.prepare(fixture.prompt("dossier", 2));
+        assertThat(fixture.takeEffects(LookUpBlocks.class)).isEmpty();
+
+        fixture.tick(BlockMoverFixture.MINUTE);
+        fixture.prepare(fixture.prompt("dossier", 4));
+        assertThat(fixture.takeEffects(LookUpBlocks.class))
                 .isNotEmpty()
                 .allSatisfy(lookup ->
                         assertThat(lookup.blocks()).isEqualTo(first.blocks().subList(2, 4)));
     }
 
-    /** Runs a prompt of four blocks, of which the engine then frees those from an index on. */
-    private ContextPrompt holdAndFree(int from) {
-        ContextPrompt prompt = rig.prompt("dossier", 4);
-        rig.prepare(prompt);
-        rig.carryOut();
-        rig.ended(prompt);
-        rig.carryOut();
-        List<CacheEvent> freed = prompt.blocks().subList(from, 4).stream()
+    /** Runs a prompt of four blocks, of which the engine then evicts those from an index on. */
+    private ContextPrompt runAndEvictFrom(int from) {
+        ContextPrompt prompt = fixture.prompt("dossier", 4);
+        fixture.prepare(prompt);
+        fixture.perform();
+        fixture.complete(prompt);
+        fixture.perform();
+        List<CacheEvent> evicted = prompt.blocks().subList(from, 4).stream()
                 .map(block -> new CacheEvent(block, false))
                 .toList();
-        rig.handle(new CompanionEvent.CacheEventsReported(CacheRig.TARGET, false, freed));
+        fixture.handle(new CompanionEvent.CacheEventsReported(BlockMoverFixture.TARGET, false, evicted));
         return prompt;
     }
 
     /**
-     * A check would be answered from blocks of other weights: the weights are swapped during a run, whose blocks then
-     * stand in the engine under the name of the old version.
+     * The weights are swapped during a run, so the engine holds blocks of the new weights under names of the old
+     * version. If they were used, a request would be answered from blocks of other weights.
      */
     @Test
-    void whatARunAcrossASwapLeavesIsNeitherBelievedNorExported() {
-        ContextPrompt prompt = rig.prompt("dossier", 4);
-        rig.prepare(prompt);
-        rig.carryOut();
-        rig.mover.onCompleted(prompt, "v2", 0, rig.now, rig.effects::add);
-
-        rig.tick(50_000);
-        assertThat(rig.take(ExportBlock.class)).isEmpty();
-        rig.prepare(rig.prompt("dossier", 4));
-        assertThat(rig.take(LookUpBlocks.class)).isNotEmpty();
+    void blocksOfARunDuringAWeightSwapAreNeitherAssumedHeldNorExported() {
+        ContextPrompt prompt = fixture.prompt("dossier", 4);
+        fixture.prepare(prompt);
+        fixture.perform();
+        fixture.mover.onCompleted(prompt, "v2", 0, fixture.now, fixture.effects::add);
+
+        fixture.tick(50_000);
+        assertThat(fixture.takeEffects(ExportBlock.class)).isEmpty();
+        fixture.prepare(fixture.prompt("dossier", 4));
+        assertThat(fixture.takeEffects(LookUpBlocks.class)).isNotEmpty();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 4})
-    void aFullStoreGivesUpWhatReturnsLeast(int returns) {
-        for (Address store : rig.stores.keySet()) {
-            rig.capacities.put(store, 4);
+    void aFullStoreEvictsTheBlocksUsedLeastOften(int returns) {
+        for (Address store : fixture.stores.keySet()) {
+            fixture.capacities.put(store, 4);
         }
-        for (int sight = 0; sight <= returns; sight++) {
-            rig.runAndEvict(rig.prompt("returning", 4));
-            rig.tick(5 * CacheRig.MINUTE);
+        for (int use = 0; use <= returns; use++) {
+            fixture.runAndEvict(fixture.prompt("returning", 4));
+            fixture.tick(5 * BlockMoverFixture.MINUTE);
         }
         for (int once = 0; once < 6; once++) {
-            rig.runAndEvict(rig.prompt("once-" + once, 4));
-            rig.tick(CacheRig.MINUTE);
+            fixture.runAndEvict(fixture.prompt("once-" + once, 4));
+            fixture.tick(BlockMoverFixture.MINUTE);
         }
-        rig.ready.clear();
-        rig.prepare(rig.prompt("returning", 4));
-        rig.carryOut();
+        fixture.ready.clear();
+        fixture.prepare(fixture.prompt("returning", 4));
+        fixture.perform();
 
-        assertThat(rig.ready).allMatch(each -> each.fetchedTokens() == 4 * CacheRig.PIECE_TOKENS);
+        assertThat(fixture.ready).allMatch(each -> each.fetchedTokens() == 4 * BlockMoverFixture.PIECE_TOKENS);
     }
 
     @Test
-    void aFullStoreIsNotAskedToDropWhatIsWorthMore() {
-        for (Address store : rig.stores.keySet()) {
-            rig.capacities.put(store, 0);
+    void aFullStoreDoesNotEvictMoreValuableBlocks() {
+        for (Address store : fixture.stores.keySet()) {
+            fixture.capacities.put(store, 0);
         }
-        rig.runAndEvict(rig.prompt("dossier", 4));
+        fixture.runAndEvict(fixture.prompt("dossier", 4));
 
-        assertThat(rig.take(DropBlock.class)).isEmpty();
+        assertThat(fixture.takeEffects(DropBlock.class)).isEmpty();
     }
 
     /**
-     * An engine's link floods, though no store takes a byte: the engine sends a block before the store says that it is
-     * full, and the next export starts at once, and so on.
+     * The engine sends a block before the store reports that it is full. If refused exports didn't count, the next
+     * one would start at once, and so on, and flood the engine's link though no store accepts a byte.
      */
     @Test
-    void exportsThatAFullStoreRefusesCountAgainstTheLinks() {
-        for (Address store : rig.stores.keySet()) {
-            rig.capacities.put(store, 0);
+    void exportsRefusedByAFullStoreCountAgainstTheLinkBudgets() {
+        for (Address store : fixture.stores.keySet()) {
+            fixture.capacities.put(store, 0);
         }
-        rig.stepMicros = 1;
+        fixture.stepMicros = 1;
         for (int dossier = 0; dossier < 40; dossier++) {
-            ContextPrompt prompt = rig.prompt("dossier-" + dossier, 12);
-            rig.prepare(prompt);
-            rig.take(LookUpBlocks.class).forEach(rig::carryOut);
-            rig.ended(prompt);
+            ContextPrompt prompt = fixture.prompt("dossier-" + dossier, 12);
+            fixture.prepare(prompt);
+            fixture.takeEffects(LookUpBlocks.class).forEach(fixture::perform);
+            fixture.complete(prompt);
         }
         int exports = 0;
-        List<ExportBlock> started = rig.take(ExportBlock.class);
+        List<ExportBlock> started = fixture.takeEffects(ExportBlock.class);
         while (!started.isEmpty()) {
             exports += started.size();
-            started.forEach(rig::carryOut);
-            started = rig.take(ExportBlock.class);
+            started.forEach(fixture::perform);
+            started = fixture.takeEffects(ExportBlock.class);
         }
 
         // 200 MB/s carry 100 blocks of 2 MB in a second, and exports may take half of that.
         assertThat(exports).isBetween(1, 50);
     }
 
-    /** Favouring the first token, a fetch slower than the engine is left alone; favouring recompute, it is made. */
+    /**
+     * A fetch that is slower than the engine is not made when the service favours the first token, but is made when
+     * it favours saving recomputation.
+     */
     @ParameterizedTest
     @CsvSource({"FIRST_TOKEN, 0", "RECOMPUTE, 4"})
-    void theFavouredOutcomeDecidesWhetherASlowFetchIsMade(Favour favour, int fetched) {
+    void theFavourSettingDecidesWhetherASlowFetchIsMade(Favour favour, int fetched) {
         // A block's fetch takes about 10 ms at 200 MB/s, and its recomputation 6.7 ms.
-        CacheRig slow = new CacheRig(favour, 300_000, MoverPolicy.DEFAULT);
+        BlockMoverFixture slow = new BlockMoverFixture(favour, 300_000, MoverPolicy.DEFAULT);
         slow.runAndEvict(slow.prompt("dossier", 4));
         slow.prepare(slow.prompt("dossier", 4));
-        slow.take(LookUpBlocks.class).forEach(slow::carryOut);
+        slow.takeEffects(LookUpBlocks.class).forEach(slow::perform);
 
-        assertThat(slow.take(FetchBlock.class)).hasSize(fetched);
+        assertThat(slow.takeEffects(FetchBlock.class)).hasSize(fetched);
     }
 
     @Test
-    void sameEventsGiveSameEffects() {
+    void effectsAreDeterministic() {
         assertThat(script()).isEqualTo(script()).isNotEmpty();
     }
 
     private static List<Object> script() {
-        CacheRig rig = new CacheRig();
+        BlockMoverFixture fixture = new BlockMoverFixture();
         List<Object> all = new ArrayList<>();
         for (int prompt = 0; prompt < 30; prompt++) {
-            ContextPrompt next = rig.prompt("dossier-" + prompt % 5, 3 + prompt % 4);
-            rig.prepare(next);
-            all.addAll(rig.effects);
-            rig.carryOut();
-            rig.ended(next);
-            all.addAll(rig.effects);
-            rig.carryOut();
-            rig.evict();
+            ContextPrompt next = fixture.prompt("dossier-" + prompt % 5, 3 + prompt % 4);
+            fixture.prepare(next);
+            all.addAll(fixture.effects);
+            fixture.perform();
+            fixture.complete(next);
+            all.addAll(fixture.effects);
+            fixture.perform();
+            fixture.evict();
         }
-        all.addAll(rig.ready);
+        all.addAll(fixture.ready);
         return all;
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/LinkBudgetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/LinkBudgetTest.java
@@ -13,15 +13,16 @@
 class LinkBudgetTest {
     private static final long BUDGET = 1_000_000;
     private static final long SECOND = 1_000_000;
-    /** Within this time a document is in force everywhere. */
-    private static final long SPREAD_MICROS = 4_000_000;
+    /** A document is in force everywhere within this time. */
+    private static final long MAX_PROPAGATION_MICROS = 4_000_000;
 
     /**
-     * A store's link floods and every fetch over it slows down: companions hold shares of one budget, moves end late,
-     * and a new document changes the number of shares, which each companion reads at another time.
+     * Companions hold shares of one budget, moves end late, and a new document changes the number of shares, which
+     * each companion reads at another time. An exceeded budget would flood the store's link and slow down every
+     * fetch over it.
      */
     @Property(seed = "21", tries = 60)
-    void noWindowOfOneSecondHoldsMoreThanTheBudgetOverAllCompanions(@ForAll @IntRange(max = 1_000_000) int seed) {
+    void allCompanionsTogetherStayWithinTheBudgetInEveryWindow(@ForAll @IntRange(max = 1_000_000) int seed) {
         Random random = new Random(seed);
         List<Companion> companions = new ArrayList<>();
         for (int index = 0; index < 6; index++) {
@@ -30,13 +31,13 @@
         long now = 0;
         int sharers = 6;
         long nextDocument = 10 * SECOND;
-        companions.forEach(companion -> companion.budget.change(BUDGET / 6, 0));
+        companions.forEach(companion -> companion.budget.updateLimit(BUDGET / 6, 0));
         while (now < 60 * SECOND) {
             now += random.nextInt(20_000);
             if (now >= nextDocument) {
                 sharers = sharers == 6 ? 3 : 6;
                 for (Companion companion : companions) {
-                    companion.readAt = now + random.nextInt((int) SPREAD_MICROS);
+                    companion.applyAt = now + random.nextInt((int) MAX_PROPAGATION_MICROS);
                     companion.sharers = companions.indexOf(companion) < sharers ? sharers : Integer.MAX_VALUE;
                 }
                 nextDocument = now + 10 * SECOND;
@@ -53,50 +54,57 @@
     }
 
     @Test
-    void fetchesGoBeforeExports() {
-        LinkBudget budget = settled();
-        budget.plan(BUDGET / 4);
+    void fetchesTakePrecedenceOverExports() {
+        LinkBudget budget = budgetInForce();
+        budget.addPending(BUDGET / 4);
 
         assertThat(budget.allowsBackground(BUDGET / 4, 20 * SECOND)).isFalse();
-        budget.plan(-BUDGET / 4);
+        budget.addPending(-BUDGET / 4);
         assertThat(budget.allowsBackground(BUDGET / 4, 20 * SECOND)).isTrue();
-        assertThat(budget.take(BUDGET / 4, 20 * SECOND)).isTrue();
-        assertThat(budget.take(BUDGET / 4, 20 * SECOND)).isTrue();
+        assertThat(budget.tryAcquire(BUDGET / 4, 20 * SECOND)).isTrue();
+        assertThat(budget.tryAcquire(BUDGET / 4, 20 * SECOND)).isTrue();
         assertThat(budget.allowsBackground(BUDGET / 4, 20 * SECOND)).isFalse();
-        assertThat(budget.take(BUDGET / 2, 20 * SECOND)).isTrue();
+        assertThat(budget.tryAcquire(BUDGET / 2, 20 * SECOND)).isTrue();
     }
 
     @Test
-    void bytesThatDidNotPassAreFreeAtOnce() {
-        LinkBudget budget = settled();
-        budget.take(BUDGET, 20 * SECOND);
+    void bytesThatWereNotTransferredAreReleasedImmediately() {
+        LinkBudget budget = budgetInForce();
+        budget.tryAcquire(BUDGET, 20 * SECOND);
         budget.release(BUDGET, BUDGET / 4, 20 * SECOND);
 
-        assertThat(budget.free(20 * SECOND)).isEqualTo(BUDGET * 3 / 4);
-        assertThat(budget.free(21 * SECOND + 1)).isEqualTo(BUDGET);
+        assertThat(budget.freeBytes(20 * SECOND)).isEqualTo(BUDGET * 3 / 4);
+        assertThat(budget.freeBytes(21 * SECOND + 1)).isEqualTo(BUDGET);
     }
 
     @Test
-    void aBlockLargerThanASecondsBudgetIsNeverFetched() {
-        assertThat(settled().waitMicros(BUDGET + 1, BUDGET + 1, 20 * SECOND)).isEqualTo(Long.MAX_VALUE);
+    void aBlockLargerThanTheBudgetOfOneWindowIsNeverFetched() {
+        assertThat(budgetInForce().waitMicros(BUDGET + 1, BUDGET + 1, 20 * SECOND))
+                .isEqualTo(Long.MAX_VALUE);
     }
 
-    /** An engine's links would stay closed: each document or report of its version restarts the wait for a raise. */
+    /**
+     * Each document or version report repeats the budget. If that restarted the delay of a raise, an engine's link
+     * would stay closed.
+     */
     @Test
-    void sayingTheSameBudgetAgainPutsOffNoRaise() {
-        LinkBudget budget = settled();
+    void repeatingTheSameBudgetDoesNotPostponeARaise() {
+        LinkBudget budget = budgetInForce();
         for (long second = 1; second <= 5; second++) {
-            budget.change(BUDGET, second * SECOND);
+            budget.updateLimit(BUDGET, second * SECOND);
         }
 
         assertThat(budget.limit(5 * SECOND)).isEqualTo(BUDGET);
     }
 
-    private static LinkBudget settled() {
+    private static LinkBudget budgetInForce() {
         return new LinkBudget(BUDGET, 0);
     }
 
-    /** The bytes of a move may pass at any time from start to end, so each move that touches a window counts. */
+    /**
+     * The bytes of a move may be transferred at any time from start to end, so each move that overlaps a window
+     * counts in full.
+     */
     private static long busiestWindow(List<Move> moves) {
         long busiest = 0;
         for (Move window : moves) {
@@ -116,23 +124,23 @@
         private final LinkBudget budget = new LinkBudget(0, 0);
         private final List<Move> moves = new ArrayList<>();
         private final List<Move> running = new ArrayList<>();
-        private final int slowness;
-        private long readAt = Long.MAX_VALUE;
+        private final int maxDurationFactor;
+        private long applyAt = Long.MAX_VALUE;
         private int sharers;
 
-        Companion(int slowness) {
-            this.slowness = slowness;
+        Companion(int maxDurationFactor) {
+            this.maxDurationFactor = maxDurationFactor;
         }
 
         void step(long now, Random random) {
-            if (now >= readAt) {
-                budget.change(BUDGET / sharers, now);
-                readAt = Long.MAX_VALUE;
+            if (now >= applyAt) {
+                budget.updateLimit(BUDGET / sharers, now);
+                applyAt = Long.MAX_VALUE;
             }
             running.removeIf(move -> end(move, now));
             long bytes = 1 + random.nextInt((int) (BUDGET / 6));
-            if (random.nextInt(4) == 0 && budget.take(bytes, now)) {
-                running.add(new Move(now, now + random.nextInt(slowness * 400_000), bytes));
+            if (random.nextInt(4) == 0 && budget.tryAcquire(bytes, now)) {
+                running.add(new Move(now, now + random.nextInt(maxDurationFactor * 400_000), bytes));
             }
         }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Clairvoyant.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Clairvoyant.java
@@ -8,21 +8,22 @@
 import org.rattanrudder.core.model.Digest;
 
 /**
- * Knows when each block returns, and keeps in one pool of both stores' size what returns soonest. Its links cost no
- * time, so it is a bound that no mover can pass. With a pool of no blocks it is the naive policy: evicted is lost.
+ * A clairvoyant policy: it knows when each block is used next, and keeps the blocks with the earliest next use in
+ * one pool of the size of both stores. Its links take no time, so it is an upper bound for any mover. With an empty
+ * pool it is the naive policy, under which evicted blocks are lost.
  */
 final class Clairvoyant {
     private final int capacity;
     private final boolean knowsTimes;
-    private final Map<Digest, Kept> pool = new HashMap<>();
-    private final TreeSet<Kept> latest = new TreeSet<>();
+    private final Map<Digest, PooledBlock> pool = new HashMap<>();
+    private final TreeSet<PooledBlock> byNextUse = new TreeSet<>();
 
     /**
-     * Makes one that keeps so many blocks.
+     * Creates a policy with a pool of this size.
      *
      * @param capacity the number of blocks
-     * @param knowsTimes whether it knows the time of each return; else it knows each context's mean gap and whether it
-     *     returns at all, which is the most that could be learnt of returns drawn at random
+     * @param knowsTimes whether it knows the time of each next use; otherwise it knows each context's mean gap and
+     *     whether it is used again, which is the most that can be learnt about uses drawn at random
      */
     Clairvoyant(int capacity, boolean knowsTimes) {
         this.capacity = capacity;
@@ -45,43 +46,43 @@
                 cached++;
             }
             long missing = prompt.text().tokens() - (long) cached * Shape.PIECE_TOKENS;
-            outcome.ran(prompt.names(), cached, missing * 1_000_000 / Shape.PREFILL_TOKENS);
+            outcome.recordRun(prompt.names(), cached, missing * 1_000_000 / Shape.PREFILL_TOKENS);
             engine.store(prompt.names());
             for (int index = 0; index < prompt.names().size(); index++) {
-                keep(new Kept(rank(prompt, index), index, prompt.names().get(index)), outcome);
+                keep(new PooledBlock(rank(prompt, index), index, prompt.names().get(index)), outcome);
             }
         }
         return outcome;
     }
 
     private long rank(Trace.Prompt prompt, int index) {
-        long returns = prompt.returns()[index];
-        return knowsTimes || returns == Long.MAX_VALUE ? returns : prompt.meanGapMicros();
+        long nextUse = prompt.nextUseMicros()[index];
+        return knowsTimes || nextUse == Long.MAX_VALUE ? nextUse : prompt.meanGapMicros();
     }
 
-    private void keep(Kept block, Outcome outcome) {
-        Kept known = pool.remove(block.name());
-        if (known != null) {
-            latest.remove(known);
+    private void keep(PooledBlock block, Outcome outcome) {
+        PooledBlock previous = pool.remove(block.name());
+        if (previous != null) {
+            byNextUse.remove(previous);
         }
-        boolean wanted = block.returns() < Long.MAX_VALUE
-                && (pool.size() < capacity || capacity > 0 && block.compareTo(latest.last()) < 0);
-        if (!wanted) {
+        boolean eligible = block.nextUse() < Long.MAX_VALUE
+                && (pool.size() < capacity || capacity > 0 && block.compareTo(byNextUse.last()) < 0);
+        if (!eligible) {
             return;
         }
         if (pool.size() >= capacity) {
-            pool.remove(latest.pollLast().name());
+            pool.remove(byNextUse.pollLast().name());
         }
         pool.put(block.name(), block);
-        latest.add(block);
-        outcome.exportedBytes += known == null ? Shape.PIECE_BYTES : 0;
+        byNextUse.add(block);
+        outcome.exportedBytes += previous == null ? Shape.PIECE_BYTES : 0;
     }
 
-    /** A block with its next return; of two that return together the deeper is given up first. */
-    private record Kept(long returns, int depth, Digest name) implements Comparable<Kept> {
+    /** A block with its next use; of two that are used at the same time the deeper is evicted first. */
+    private record PooledBlock(long nextUse, int depth, Digest name) implements Comparable<PooledBlock> {
         @Override
-        public int compareTo(Kept other) {
-            int order = Long.compare(returns, other.returns);
+        public int compareTo(PooledBlock other) {
+            int order = Long.compare(nextUse, other.nextUse);
             order = order == 0 ? Integer.compare(depth, other.depth) : order;
             return order == 0 ? name.compareTo(other.name) : order;
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Engine.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Engine.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.rattanrudder.core.model.Digest;
 
-/** An engine's prefix cache: it frees the block that was used least recently. */
+/** An engine's prefix cache with least-recently-used eviction. */
 final class Engine {
     private final int capacity;
     private final Set<Digest> blocks = new LinkedHashSet<>();
@@ -20,7 +20,7 @@
         return blocks.contains(block);
     }
 
-    /** Returns how many leading blocks are held. */
+    /** Returns how many leading blocks the engine holds. */
     int cached(List<Digest> names) {
         int cached = 0;
         while (cached < names.size() && blocks.contains(names.get(cached))) {
@@ -29,18 +29,20 @@
         return cached;
     }
 
-    /** Stores blocks, the last ones first, so that a chain loses its end first; returns what was freed. */
+    /**
+     * Stores blocks, the last ones first, so that the end of a chain is evicted first; returns the evicted blocks.
+     */
     List<Digest> store(List<Digest> names) {
         for (int index = names.size() - 1; index >= 0; index--) {
             blocks.remove(names.get(index));
             blocks.add(names.get(index));
         }
-        List<Digest> freed = new ArrayList<>();
+        List<Digest> evicted = new ArrayList<>();
         Iterator<Digest> oldest = blocks.iterator();
         while (blocks.size() > capacity) {
-            freed.add(oldest.next());
+            evicted.add(oldest.next());
             oldest.remove();
         }
-        return freed;
+        return evicted;
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Outcome.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Outcome.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import org.rattanrudder.core.model.Digest;
 
-/** What a run over a trace cost. A block counts as recomputed if it had been computed before. */
+/** The cost of a run over a trace. A block counts as recomputed if it had been computed before. */
 final class Outcome {
     static final String HEADER = "| policy | recomputed | computed | / naive | / clairvoyant | fetched GB | exported GB"
             + " | link bytes / clairvoyant | p50 ms | p95 ms |\n| --- "
@@ -16,26 +16,26 @@
 
     private final Set<Digest> computed = new HashSet<>();
     private final List<Long> firstTokenMicros = new ArrayList<>();
-    private long returned;
-    private long recomputed;
-    private long asked;
-    private long anew;
+    private long reusedBlocks;
+    private long recomputedBlocks;
+    private long requestedBlocks;
+    private long computedBlocks;
     long fetchedBytes;
     long exportedBytes;
 
-    void ran(List<Digest> names, int cached, long firstTokenMicros) {
+    void recordRun(List<Digest> names, int cached, long firstTokenMicros) {
         for (int index = 0; index < names.size(); index++) {
             boolean before = !computed.add(names.get(index));
-            asked++;
-            anew += index >= cached ? 1 : 0;
-            returned += before ? 1 : 0;
-            recomputed += before && index >= cached ? 1 : 0;
+            requestedBlocks++;
+            computedBlocks += index >= cached ? 1 : 0;
+            reusedBlocks += before ? 1 : 0;
+            recomputedBlocks += before && index >= cached ? 1 : 0;
         }
         this.firstTokenMicros.add(firstTokenMicros);
     }
 
     double recomputedShare() {
-        return (double) recomputed / returned;
+        return (double) recomputedBlocks / reusedBlocks;
     }
 
     long linkBytes() {
@@ -49,9 +49,9 @@
                 "| %s | %.3f | %.3f | %.2f | %s | %.1f | %.1f | %.2f | %.0f | %.0f |",
                 name,
                 recomputedShare(),
-                (double) anew / asked,
+                (double) computedBlocks / requestedBlocks,
                 recomputedShare() / naive.recomputedShare(),
-                clairvoyant.recomputed == 0
+                clairvoyant.recomputedBlocks == 0
                         ? "-"
                         : String.format(Locale.ROOT, "%.2f", recomputedShare() / clairvoyant.recomputedShare()),
                 fetchedBytes / 1e9,
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Shape.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Shape.java
@@ -3,26 +3,26 @@
 import org.rattanrudder.core.document.CacheSettings.Favour;
 
 /**
- * One deployment's shape.
+ * The shape of a deployment.
  *
  * @param name its name in the tables
- * @param favour what the team weighs most
+ * @param favour the cost that the service favours saving
  * @param targets the number of engines
- * @param leastBlocks the shortest context, in blocks
- * @param mostBlocks the longest
- * @param leastGapSeconds the shortest mean gap between returns of a context
- * @param mostGapSeconds the longest
- * @param onceShare the share of contexts that never return
+ * @param minBlocks the length of the shortest context, in blocks
+ * @param maxBlocks the length of the longest context, in blocks
+ * @param minGapSeconds the shortest mean gap between uses of a context
+ * @param maxGapSeconds the longest mean gap between uses of a context
+ * @param onceShare the share of contexts that are used only once
  * @param engineBlocks how many blocks an engine holds
  */
 record Shape(
         String name,
         Favour favour,
         int targets,
-        int leastBlocks,
-        int mostBlocks,
-        int leastGapSeconds,
-        int mostGapSeconds,
+        int minBlocks,
+        int maxBlocks,
+        int minGapSeconds,
+        int maxGapSeconds,
         double onceShare,
         int engineBlocks) {
     static final int PIECE_TOKENS = 2000;
@@ -32,12 +32,12 @@
     static final long TARGET_LINK = 200_000_000;
     static final long STORE_LINK = 400_000_000;
 
-    /** Long dossiers that return after hours. */
+    /** Long dossiers that are used again after hours. */
     static Shape addis(int engineBlocks) {
         return new Shape("Addis", Favour.RECOMPUTE, 8, 8, 32, 1_200, 86_400, 0.4, engineBlocks);
     }
 
-    /** Shift sheets and tanking records that return within a shift or at the next. */
+    /** Shift sheets and tanking records that are used again within a shift or at the next. */
     static Shape povazie(int engineBlocks) {
         return new Shape("Povazie", Favour.FIRST_TOKEN, 6, 2, 6, 300, 43_200, 0.4, engineBlocks);
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Simulation.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Simulation.java
@@ -30,12 +30,12 @@
 import org.rattanrudder.core.model.ServiceName;
 import org.rattanrudder.core.model.TargetName;
 
-/** One mover for each engine, two stores, and links at the speed of their budgets, driven by a clock of its own. */
-final class World {
+/** Simulates one mover for each engine, two stores, and links at the speed of their budgets, on a virtual clock. */
+final class Simulation {
     private static final long TICK_MICROS = 50_000;
-    private static final long ANSWER_MICROS = 2_000;
-    private static final long EVENTS_LATE_MICROS = 200_000;
-    private static final double EVENTS_LOST = 0.0005;
+    private static final long STORE_LATENCY_MICROS = 2_000;
+    private static final long EVENT_DELAY_MICROS = 200_000;
+    private static final double EVENT_LOSS_PROBABILITY = 0.0005;
 
     private final Shape shape;
     private final Outcome outcome = new Outcome();
@@ -51,7 +51,7 @@
     private long now;
     private long sequence;
 
-    World(Shape shape, int storeBlocks, MoverPolicy policy) {
+    Simulation(Shape shape, int storeBlocks, MoverPolicy policy) {
         this.shape = shape;
         this.storeBlocks = storeBlocks;
         this.ticking = new boolean[shape.targets()];
@@ -66,13 +66,13 @@
         document.stores().forEach(store -> stores.put(store.address(), new HashMap<>()));
     }
 
-    /** Loses a store with all that it holds; it is back at once and empty. */
+    /** Clears a store at a time, as if it had lost its contents and restarted at once. */
     void loseStoreAt(long micros) {
-        at(micros, () -> stores.values().iterator().next().clear());
+        schedule(micros, () -> stores.values().iterator().next().clear());
     }
 
     Outcome run(Trace trace) {
-        trace.prompts.forEach(prompt -> at(prompt.micros(), () -> arrive(prompt)));
+        trace.prompts.forEach(prompt -> schedule(prompt.micros(), () -> arrive(prompt)));
         while (!steps.isEmpty()) {
             Step step = steps.poll();
             now = step.micros();
@@ -91,8 +91,8 @@
                 prompt.text(),
                 now + 60_000_000);
         waiting.put(context.attempt(), new Running(prompt, context, now));
-        start(movers.get(prompt.target()).prepare(context, now, effect -> carryOut(prompt.target(), effect)));
-        tickLater(prompt.target());
+        start(movers.get(prompt.target()).prepare(context, now, effect -> perform(prompt.target(), effect)));
+        scheduleTick(prompt.target());
     }
 
     private void start(List<ContextReady> ready) {
@@ -102,62 +102,64 @@
             int cached = engines.get(prompt.target()).cached(prompt.names());
             long missing = prompt.text().tokens() - (long) cached * Shape.PIECE_TOKENS;
             long computeMicros = missing * 1_000_000 / Shape.PREFILL_TOKENS;
-            outcome.ran(prompt.names(), cached, now - running.arrivedMicros() + computeMicros);
+            outcome.recordRun(prompt.names(), cached, now - running.arrivedMicros() + computeMicros);
             store(prompt.target(), prompt.names());
-            at(now + computeMicros, () -> end(running));
+            schedule(now + computeMicros, () -> end(running));
         }
     }
 
     private void end(Running running) {
         int target = running.prompt().target();
         movers.get(target)
-                .onCompleted(running.context(), "v1", Shape.PREFILL_TOKENS, now, effect -> carryOut(target, effect));
-        tickLater(target);
+                .onCompleted(running.context(), "v1", Shape.PREFILL_TOKENS, now, effect -> perform(target, effect));
+        scheduleTick(target);
     }
 
-    /** Stores blocks in an engine, and tells its mover late of what was freed; some reports are lost. */
+    /**
+     * Stores blocks in an engine, and reports the evicted ones to its mover after a delay; some reports are lost.
+     */
     private void store(int target, List<Digest> blocks) {
-        List<CompanionEvent.CacheEvent> freed = engines.get(target).store(blocks).stream()
+        List<CompanionEvent.CacheEvent> evicted = engines.get(target).store(blocks).stream()
                 .map(block -> new CompanionEvent.CacheEvent(block, false))
                 .toList();
-        boolean lost = random.nextDouble() < EVENTS_LOST;
-        if (lost || !freed.isEmpty()) {
+        boolean lost = random.nextDouble() < EVENT_LOSS_PROBABILITY;
+        if (lost || !evicted.isEmpty()) {
             CompanionEvent event =
-                    new CompanionEvent.CacheEventsReported(names.get(target), lost, lost ? List.of() : freed);
-            at(now + EVENTS_LATE_MICROS, () -> tell(target, event));
+                    new CompanionEvent.CacheEventsReported(names.get(target), lost, lost ? List.of() : evicted);
+            schedule(now + EVENT_DELAY_MICROS, () -> deliver(target, event));
         }
     }
 
-    private void tell(int target, CompanionEvent event) {
-        start(movers.get(target).handle(event, now, effect -> carryOut(target, effect)));
-        tickLater(target);
+    private void deliver(int target, CompanionEvent event) {
+        start(movers.get(target).handle(event, now, effect -> perform(target, effect)));
+        scheduleTick(target);
     }
 
-    private void tickLater(int target) {
+    private void scheduleTick(int target) {
         if (!ticking[target] && !movers.get(target).isIdle()) {
             ticking[target] = true;
-            at(now + TICK_MICROS, () -> {
+            schedule(now + TICK_MICROS, () -> {
                 ticking[target] = false;
-                tell(target, new CompanionEvent.Tick());
+                deliver(target, new CompanionEvent.Tick());
             });
         }
     }
 
-    private void carryOut(int target, CompanionEffect effect) {
+    private void perform(int target, CompanionEffect effect) {
         if (effect instanceof CompanionEffect.LookUpBlocks lookup) {
-            at(now + ANSWER_MICROS, () -> {
+            schedule(now + STORE_LATENCY_MICROS, () -> {
                 Map<Digest, StoredBlock> store = stores.get(lookup.store());
                 List<StoredBlock> found = lookup.blocks().stream()
                         .filter(store::containsKey)
                         .map(store::get)
                         .toList();
-                tell(target, new CompanionEvent.BlockLookupEnded(lookup.lookup(), found, true));
+                deliver(target, new CompanionEvent.BlockLookupEnded(lookup.lookup(), found, true));
             });
         } else if (effect instanceof CompanionEffect.FetchBlock fetch) {
-            at(now + passMicros(), () -> fetched(target, fetch));
+            schedule(now + transferMicros(), () -> fetched(target, fetch));
         } else if (effect instanceof CompanionEffect.ExportBlock export) {
             boolean full = stores.get(export.store()).size() >= storeBlocks;
-            at(now + (full ? ANSWER_MICROS : passMicros()), () -> exported(target, export));
+            schedule(now + (full ? STORE_LATENCY_MICROS : transferMicros()), () -> exported(target, export));
         } else if (effect instanceof CompanionEffect.DropBlock drop) {
             stores.get(drop.store()).remove(drop.block());
         }
@@ -165,12 +167,12 @@
 
     private void fetched(int target, CompanionEffect.FetchBlock fetch) {
         Digest block = fetch.block().block();
-        boolean there = fetch.block().equals(stores.get(fetch.store()).get(block));
-        if (there) {
+        boolean isStored = fetch.block().equals(stores.get(fetch.store()).get(block));
+        if (isStored) {
             store(target, List.of(block));
             outcome.fetchedBytes += Shape.PIECE_BYTES;
         }
-        moveEnded(target, fetch.move(), there ? MoveOutcome.DONE : MoveOutcome.GONE);
+        moveEnded(target, fetch.move(), isStored ? MoveOutcome.DONE : MoveOutcome.GONE);
     }
 
     private void exported(int target, CompanionEffect.ExportBlock export) {
@@ -188,14 +190,14 @@
     }
 
     private void moveEnded(int target, long move, MoveOutcome result) {
-        tell(target, new CompanionEvent.MoveEnded(move, result, result == MoveOutcome.DONE ? Shape.PIECE_BYTES : 0));
+        deliver(target, new CompanionEvent.MoveEnded(move, result, result == MoveOutcome.DONE ? Shape.PIECE_BYTES : 0));
     }
 
-    private long passMicros() {
-        return ANSWER_MICROS + Shape.PIECE_BYTES * 1_000_000 / (Shape.STORE_LINK / shape.targets());
+    private long transferMicros() {
+        return STORE_LATENCY_MICROS + Shape.PIECE_BYTES * 1_000_000 / (Shape.STORE_LINK / shape.targets());
     }
 
-    private void at(long micros, Runnable action) {
+    private void schedule(long micros, Runnable action) {
         steps.add(new Step(micros, ++sequence, action));
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/StateBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/StateBench.java
@@ -27,15 +27,15 @@
 import org.rattanrudder.core.model.ServiceName;
 import org.rattanrudder.core.model.TargetName;
 
-/** Prints the bytes of hints a context, and the time of one prompt's decisions, by the number of contexts held. */
+/** Prints the size of the hints per context and the time of one prompt's decisions, by the number of contexts. */
 public final class StateBench {
     private static final int CUSTOMERS = 2_600;
     private static final int BLOCKS = 16;
-    private static final int MEASURED = 20_000;
+    private static final int SAMPLES = 20_000;
 
     private StateBench() {}
 
-    /** Runs the table. */
+    /** Prints the table. */
     public static void main(String[] arguments) {
         System.out.println(
                 "| contexts | blocks | bytes of hints | bytes a context | ns a returning prompt, p50 | p99 |");
@@ -58,8 +58,8 @@
         long bytes = mover.stateBytes();
         mover.handle(new CompanionEvent.CacheEventsReported(target.name(), true, List.of()), now, effects::add);
         Random random = new Random(5);
-        long[] nanos = new long[MEASURED];
-        for (int index = 0; index < MEASURED; index++) {
+        long[] nanos = new long[SAMPLES];
+        for (int index = 0; index < SAMPLES; index++) {
             int context = random.nextInt(contexts);
             long start = System.nanoTime();
             now = run(mover, context, now, effects);
@@ -73,11 +73,11 @@
                 contexts * BLOCKS,
                 bytes,
                 bytes / contexts,
-                nanos[MEASURED / 2],
-                nanos[MEASURED * 99 / 100]);
+                nanos[SAMPLES / 2],
+                nanos[SAMPLES * 99 / 100]);
     }
 
-    /** One prompt with its lookups, none found, its run and the end of its exports. */
+    /** Runs one prompt: its lookups, which find nothing, its run and the end of its exports. */
     private static long run(BlockMover mover, int context, long now, List<CompanionEffect> effects) {
         ContextPrompt prompt = prompt(context, now);
         mover.prepare(prompt, now, effects::add);
@@ -90,9 +90,9 @@
     }
 
     private static void answer(BlockMover mover, long now, List<CompanionEffect> effects) {
-        List<CompanionEffect> asked = List.copyOf(effects);
+        List<CompanionEffect> pending = List.copyOf(effects);
         effects.clear();
-        for (CompanionEffect effect : asked) {
+        for (CompanionEffect effect : pending) {
             if (effect instanceof CompanionEffect.LookUpBlocks lookup) {
                 mover.handle(new CompanionEvent.BlockLookupEnded(lookup.lookup(), List.of(), true), now, effects::add);
             } else if (effect instanceof CompanionEffect.ExportBlock export) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Trace.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/cache/bench/Trace.java
@@ -9,12 +9,12 @@
 import org.rattanrudder.core.call.PromptShape;
 import org.rattanrudder.core.model.Digest;
 
-/** Prompts in the order of their time, drawn from a fixed seed. */
+/** A trace of prompts, ordered by time and drawn from a fixed seed. */
 final class Trace {
     static final int HORIZON_SECONDS = 3 * 86_400;
     private static final int CUSTOMERS = 10;
     private static final int SHARED_BLOCKS = 1;
-    private static final double LAST_RETURN = 0.05;
+    private static final double LAST_USE_PROBABILITY = 0.05;
 
     final List<Prompt> prompts = new ArrayList<>();
     final int distinctBlocks;
@@ -25,12 +25,12 @@
             add(shape, context, random);
         }
         prompts.sort(Comparator.comparingLong(Prompt::micros));
-        distinctBlocks = chainReturns();
+        distinctBlocks = setNextUses();
     }
 
     private void add(Shape shape, int context, Random random) {
         int customer = (int) (CUSTOMERS * Math.pow(random.nextDouble(), 3));
-        int blocks = shape.leastBlocks() + random.nextInt(shape.mostBlocks() - shape.leastBlocks() + 1);
+        int blocks = shape.minBlocks() + random.nextInt(shape.maxBlocks() - shape.minBlocks() + 1);
         List<Digest> pieces = new ArrayList<>();
         for (int piece = 0; piece < blocks; piece++) {
             String owner = piece < SHARED_BLOCKS ? "shared" : "context-" + context;
@@ -41,26 +41,26 @@
         List<Digest> names = text.blockDigests(root);
         int target = Math.floorMod(names.get(names.size() - 1).second(), shape.targets());
         boolean once = random.nextDouble() < shape.onceShare();
-        double logRange = Math.log((double) shape.mostGapSeconds() / shape.leastGapSeconds());
-        double meanGap = shape.leastGapSeconds() * Math.exp(random.nextDouble() * logRange);
+        double logRange = Math.log((double) shape.maxGapSeconds() / shape.minGapSeconds());
+        double meanGap = shape.minGapSeconds() * Math.exp(random.nextDouble() * logRange);
         double seconds = 60 + random.nextDouble() * HORIZON_SECONDS;
         while (seconds < HORIZON_SECONDS) {
             prompts.add(new Prompt((long) (seconds * 1e6), customer, target, text, names, (long) (meanGap * 1e6)));
-            if (once || random.nextDouble() < LAST_RETURN) {
+            if (once || random.nextDouble() < LAST_USE_PROBABILITY) {
                 return;
             }
             seconds += 60 - meanGap * Math.log(1 - random.nextDouble());
         }
     }
 
-    /** Tells each prompt when each of its blocks returns; returns the number of distinct blocks. */
-    private int chainReturns() {
+    /** Sets when each block of each prompt is used next; returns the number of distinct blocks. */
+    private int setNextUses() {
         Map<Digest, Long> next = new HashMap<>();
         for (int index = prompts.size() - 1; index >= 0; index--) {
             Prompt prompt = prompts.get(index);
             for (int block = 0; block < prompt.names().size(); block++) {
-                Long returns = next.put(prompt.names().get(block), prompt.micros());
-                prompt.returns()[block] = returns == null ? Long.MAX_VALUE : returns;
+                Long nextUse = next.put(prompt.names().get(block), prompt.micros());
+                prompt.nextUseMicros()[block] = nextUse == null ? Long.MAX_VALUE : nextUse;
             }
         }
         return next.size();
@@ -69,13 +69,13 @@
     /**
      * One prompt.
      *
-     * @param micros when it comes
-     * @param customer whose it is
-     * @param target the engine that it goes to
+     * @param micros when it arrives
+     * @param customer its customer
+     * @param target the engine that runs it
      * @param text its shape
      * @param names its block names
-     * @param meanGapMicros the mean gap that its returns are drawn with
-     * @param returns when each block is asked for next
+     * @param meanGapMicros the mean gap from which the next uses of its context are drawn
+     * @param nextUseMicros when each block is used next
      */
     record Prompt(
             long micros,
@@ -84,7 +84,7 @@
             PromptShape text,
             List<Digest> names,
             long meanGapMicros,
-            long[] returns) {
+            long[] nextUseMicros) {
         Prompt(long micros, int customer, int target, PromptShape text, List<Digest> names, long meanGapMicros) {
             this(micros, customer, target, text, names, meanGapMicros, new long[names.size()]);
         }
