--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/BurnAlert.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/BurnAlert.java
@@ -3,19 +3,19 @@
 import java.util.Map;
 
 /**
- * Alerts that look at a long window, so that a short spike doesn't raise them, and at a short one, so that they end
- * soon after the trouble does.
+ * The alerts on burn rates. Each has a long window, so that a short spike doesn't raise it, and a short window, so
+ * that it ends soon after the cause does.
  */
 public enum BurnAlert {
-    /** The budget of three days would be gone in five hours: wake somebody. */
+    /** The error budget of three days would be used up in five hours: page an operator. */
     FAST(14.4, Window.HOUR, Window.FIVE_MINUTES),
-    /** The budget of three days would be gone in half a day: wake somebody. */
+    /** The error budget of three days would be used up in half a day: page an operator. */
     SLOW(6.0, Window.SIX_HOURS, Window.HOUR),
-    /** The budget won't last: look at it in working hours. */
+    /** The error budget won't last three days: investigate during working hours. */
     LASTING(1.0, Window.THREE_DAYS, Window.SIX_HOURS);
 
     /** Fewer bad requests than this raise no alert: one bad request out of three isn't a trend. */
-    public static final int FEWEST_BAD = 5;
+    public static final int MIN_BAD_REQUESTS = 5;
 
     private final double threshold;
     private final Window longWindow;
@@ -27,7 +27,7 @@
         this.shortWindow = shortWindow;
     }
 
-    /** Returns the burn rate from which it is raised. */
+    /** Returns the burn rate from which the alert is raised. */
     public double threshold() {
         return threshold;
     }
@@ -42,10 +42,10 @@
         return shortWindow;
     }
 
-    /** Returns whether the windows raise it. */
+    /** Returns whether the windows raise the alert. */
     boolean isRaised(Map<Window, WindowBurn> windows) {
         WindowBurn longBurn = windows.get(longWindow);
-        return longBurn.bad() >= FEWEST_BAD
+        return longBurn.bad() >= MIN_BAD_REQUESTS
                 && longBurn.burnRate() >= threshold
                 && windows.get(shortWindow).burnRate() >= threshold;
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/BurnLedger.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/BurnLedger.java
@@ -11,8 +11,9 @@
 /**
  * Counts the ended requests of one entry against their objectives.
  *
- * <p>Its memory is bounded: a service's request class takes 60 minutes, 288 quarters of an hour, six histograms and the
- * counts of its customers over six hours. Nothing outlives the process; {@link BurnReport} shows what that loses.
+ * <p>Its memory is bounded: each request class of a service has counts for 60 minutes and 288 quarters of an hour,
+ * six histograms, and the counts of its customers over six hours. The counts are lost when the process ends; {@link
+ * BurnReport} shows which time they don't cover.
  *
  * <pre>{@code
  * BurnLedger ledger = new BurnLedger("18c1f", "entry-1", "depo-sever", startMillis);
@@ -30,12 +31,12 @@
     private long latestMillis;
 
     /**
-     * Begins to count.
+     * Creates an empty ledger.
      *
-     * @param incarnation names this process
+     * @param incarnation identifies this process
      * @param instance the entry's name
-     * @param failureDomain the failure domain it stands in
-     * @param startedMillis now, in milliseconds since 1970
+     * @param failureDomain the failure domain of the entry
+     * @param startedMillis the current time in milliseconds since 1970
      */
     public BurnLedger(String incarnation, String instance, String failureDomain, long startedMillis) {
         this.incarnation = incarnation;
@@ -49,8 +50,8 @@
      * Counts one ended request.
      *
      * @param summary the request
-     * @param objective its class, as its service's document said when it was admitted
-     * @param nowMillis the time in milliseconds since 1970; counted on from the start by a clock that never jumps
+     * @param objective its request class in the service's document at the time of its admission
+     * @param nowMillis the time in milliseconds since 1970, advanced from the start by a monotonic clock
      */
     public void record(RequestSummary summary, RequestClass objective, long nowMillis) {
         latestMillis = Math.max(latestMillis, nowMillis);
@@ -58,7 +59,7 @@
                 .record(summary, objective, latestMillis);
     }
 
-    /** Returns what is known now. */
+    /** Returns a snapshot of the counts. */
     public BurnSnapshot snapshot(long nowMillis) {
         latestMillis = Math.max(latestMillis, nowMillis);
         List<BurnSnapshot.ClassCounts> counts = new ArrayList<>();
@@ -66,7 +67,7 @@
         return new BurnSnapshot(incarnation, instance, failureDomain, startedMillis, latestMillis, counts);
     }
 
-    /** Names one request class of one service. */
+    /** Identifies a request class of a service. */
     private record ClassKey(String service, String requestClass) {}
 
     /** The counts of one request class. */
@@ -79,12 +80,12 @@
 
         void record(RequestSummary summary, RequestClass current, long nowMillis) {
             objective = current;
-            Judgement judgement = Judgement.of(summary, current);
-            if (judgement == Judgement.EXCLUDED) {
+            ObjectiveOutcome outcome = ObjectiveOutcome.of(summary, current);
+            if (outcome == ObjectiveOutcome.EXCLUDED) {
                 excluded++;
                 return;
             }
-            boolean isGood = judgement == Judgement.GOOD;
+            boolean isGood = outcome == ObjectiveOutcome.GOOD;
             minutes.add(isGood, nowMillis);
             quarters.add(isGood, nowMillis);
             hours.addCustomer(summary.customer(), isGood, nowMillis);
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/BurnReport.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/BurnReport.java
@@ -13,17 +13,17 @@
 import java.util.stream.Stream;
 
 /**
- * The snapshots of many entries, put together.
+ * The merged snapshots of several entries.
  *
- * <p>A report keeps the newest snapshot of each incarnation and adds up only when asked. So merging is associative and
- * commutative, and asking one entry twice counts nothing twice.
+ * <p>A report keeps the newest snapshot of each incarnation, and adds up the counts only when they are read. So
+ * merging is associative and commutative, and querying an entry twice counts nothing twice.
  *
  * <pre>{@code
  * BurnReport report = snapshots.stream().map(BurnReport::of).reduce(BurnReport.EMPTY, BurnReport::merge);
  * }</pre>
  */
 public final class BurnReport {
-    /** The report of no entry. */
+    /** The report without entries. */
     public static final BurnReport EMPTY = new BurnReport(new TreeMap<>());
 
     private final SortedMap<String, BurnSnapshot> snapshots;
@@ -39,19 +39,19 @@
         return new BurnReport(one);
     }
 
-    /** Returns the report of the entries of both. */
+    /** Returns a report of the entries of both reports. */
     public BurnReport merge(BurnReport other) {
         SortedMap<String, BurnSnapshot> both = new TreeMap<>(snapshots);
         other.snapshots.forEach((incarnation, snapshot) -> both.merge(incarnation, snapshot, BurnReport::newer));
         return new BurnReport(both);
     }
 
-    /** Returns the snapshots by incarnation. */
+    /** Returns the snapshots, ordered by incarnation. */
     public Collection<BurnSnapshot> snapshots() {
         return List.copyOf(snapshots.values());
     }
 
-    /** Returns the time at which the newest snapshot was taken; 0 if there is none. */
+    /** Returns the time of the newest snapshot; 0 if there is none. */
     public long nowMillis() {
         return snapshots.values().stream()
                 .mapToLong(BurnSnapshot::takenMillis)
@@ -59,7 +59,7 @@
                 .orElse(0);
     }
 
-    /** Returns how much of the window the entries cover. */
+    /** Returns how much of the window the counts of the entries cover. */
     public Coverage coverage(Window window) {
         long from = nowMillis() - window.millis();
         List<Coverage.Gap> gaps = snapshots.values().stream()
@@ -73,14 +73,14 @@
         return new Coverage(window, share, gaps);
     }
 
-    /** Returns how many of the entries counted during the whole of a slot: 0 means that nothing is known of it. */
+    /** Returns how many entries were counting during the whole of a slot; if 0, nothing is known about it. */
     public long entriesCovering(long slotStartMillis) {
         return snapshots.values().stream()
                 .filter(snapshot -> snapshot.startedMillis() <= slotStartMillis)
                 .count();
     }
 
-    /** Returns the burn of each service and request class, by name. */
+    /** Returns the burn of each request class of each service, ordered by name. */
     public List<ClassBurn> classes() {
         SortedMap<String, List<Counted>> byClass = new TreeMap<>();
         snapshots
@@ -93,7 +93,7 @@
     }
 
     private ClassBurn burn(List<Counted> counted) {
-        // Entries may differ while a new document spreads: the newest snapshot says which objective holds.
+        // Entries may differ while a new document propagates: the objective of the newest snapshot applies.
         BurnSnapshot.ClassCounts newest = counted.stream()
                 .max(Comparator.comparingLong((Counted each) -> each.snapshot.takenMillis())
                         .thenComparing(each -> each.snapshot.incarnation()))
@@ -173,6 +173,6 @@
         return other.takenMillis() > one.takenMillis() ? other : one;
     }
 
-    /** The counts of a class with the snapshot that they come from. */
+    /** The counts of a request class with their snapshot. */
     private record Counted(BurnSnapshot snapshot, BurnSnapshot.ClassCounts counts) {}
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/BurnSnapshot.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/BurnSnapshot.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * What one entry has counted, as it hands it out. Times are milliseconds since 1970 on the entry's clock.
+ * The counts of one entry at one moment. Times are milliseconds since 1970 on the entry's clock.
  *
- * @param incarnation names the process; two snapshots of one incarnation are two views of the same counts
+ * @param incarnation identifies the process; two snapshots of one incarnation show the same counts at different times
  * @param instance the entry's name
- * @param failureDomain the failure domain it stands in
- * @param startedMillis when it began to count: it knows nothing of the time before
+ * @param failureDomain the failure domain of the entry
+ * @param startedMillis when it started to count; it has no counts of the time before
  * @param takenMillis when the snapshot was taken
- * @param classes the counts of each service and request class that it has seen
+ * @param classes the counts of each request class of each service that had requests
  */
 public record BurnSnapshot(
         String incarnation,
@@ -31,11 +31,11 @@
      * @param requestClass the request class
      * @param objectiveMillis the time to the first byte that counts as good
      * @param objectiveShare the share of requests that must be good
-     * @param excluded requests that count neither way, since the failure was the caller's own
+     * @param excluded requests that count as neither good nor bad, since the caller caused the failure
      * @param minutes good and bad requests in each minute that had any, oldest first
      * @param quarters good and bad requests in each quarter of an hour that had any, oldest first
-     * @param firstByte times to the first byte of answers, over the last hours
-     * @param customers good and bad requests of each customer, over the last hours
+     * @param firstByte times to the first byte over the last six hours
+     * @param customers good and bad requests of each customer over the last six hours
      */
     public record ClassCounts(
             String service,
@@ -58,9 +58,9 @@
     /**
      * Good and bad requests in one slot of time.
      *
-     * @param startMillis where the slot begins, a multiple of its length
+     * @param startMillis when the slot starts, a multiple of its length
      * @param good requests within the objective
-     * @param bad requests that failed by the system's fault or were late
+     * @param bad requests that were late, or that failed because of the system
      */
     public record SlotCounts(long startMillis, long good, long bad) {}
 
@@ -69,7 +69,7 @@
      *
      * @param customer the customer's name
      * @param good requests within the objective
-     * @param bad requests that failed by the system's fault or were late
+     * @param bad requests that were late, or that failed because of the system
      */
     public record CustomerCounts(String customer, long good, long bad) {}
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/ClassBurn.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/ClassBurn.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * The burn of one request class of one service over all entries that were asked.
+ * The burn of one request class of one service over all queried entries.
  *
  * @param service the service
  * @param requestClass the request class
  * @param objectiveMillis the time to the first byte that counts as good
  * @param objectiveShare the share of requests that must be good
- * @param excluded requests that count neither way
+ * @param excluded requests that count as neither good nor bad
  * @param windows the counts of each window
- * @param alerts the alerts that are raised
+ * @param alerts the raised alerts
  * @param firstByte times to the first byte over the last six hours
- * @param customers customers by bad requests over the last six hours, the worst first
+ * @param customers the counts of each customer over the last six hours, the one with the most bad requests first
  * @param minutes the counts in each minute of the last hour that had any, oldest first
  * @param quarters the counts in each quarter of an hour that had any, oldest first
  */
@@ -39,7 +39,7 @@
         quarters = List.copyOf(quarters);
     }
 
-    /** Returns the share of the error budget of three days that is left. */
+    /** Returns the remaining share of the error budget of three days. */
     public double budgetLeft() {
         return windows.get(Window.THREE_DAYS).budgetLeft();
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/HourRing.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/HourRing.java
@@ -8,14 +8,17 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** What is too large to keep by the minute: latencies and customers, in the last six slots of an hour. */
+/**
+ * A ring buffer of latencies and customers' counts, which are too large to keep by the minute, in six slots of an
+ * hour.
+ */
 final class HourRing {
     static final long HOUR_MILLIS = 3_600_000;
     static final int HOURS = 6;
 
     private final Hour[] hours = new Hour[HOURS];
     private final Map<String, CustomerHours> customers = new HashMap<>();
-    private long cleanedHour = Long.MIN_VALUE;
+    private long lastCleanupHour = Long.MIN_VALUE;
 
     void addLatency(long micros, long nowMillis) {
         hour(nowMillis).latencies[LatencyHistogram.bucketOf(micros)]++;
@@ -23,17 +26,18 @@
 
     void addCustomer(String customer, boolean isGood, long nowMillis) {
         long hour = hourNumber(nowMillis);
-        if (hour != cleanedHour) {
-            // Customers leave documents; without this their counts would be kept for as long as the process runs.
-            customers.values().removeIf(counts -> counts.isForgotten(hour));
-            cleanedHour = hour;
+        if (hour != lastCleanupHour) {
+            // Customers are removed from documents. Without this, their counts would be kept for the lifetime of the
+            // process.
+            customers.values().removeIf(counts -> counts.isExpired(hour));
+            lastCleanupHour = hour;
         }
-        customers.computeIfAbsent(customer, unseen -> new CustomerHours(hour)).add(isGood, hour);
+        customers.computeIfAbsent(customer, name -> new CustomerHours(hour)).add(isGood, hour);
     }
 
     LatencyHistogram latencies(long nowMillis) {
         SortedMap<Integer, Long> counts = new TreeMap<>();
-        for (Hour hour : covered(nowMillis)) {
+        for (Hour hour : coveredHours(nowMillis)) {
             for (int bucket = 0; bucket < LatencyHistogram.BUCKETS; bucket++) {
                 if (hour.latencies[bucket] > 0) {
                     counts.merge(bucket, (long) hour.latencies[bucket], Long::sum);
@@ -43,12 +47,12 @@
         return new LatencyHistogram(counts);
     }
 
-    /** Returns the counts of each customer by name. */
+    /** Returns the counts of each customer, ordered by name. */
     List<BurnSnapshot.CustomerCounts> customers(long nowMillis) {
         long hour = hourNumber(nowMillis);
         List<BurnSnapshot.CustomerCounts> counts = new ArrayList<>();
         new TreeMap<>(customers).forEach((name, each) -> {
-            if (!each.isForgotten(hour)) {
+            if (!each.isExpired(hour)) {
                 counts.add(each.counts(name, hour));
             }
         });
@@ -68,7 +72,7 @@
         return hours[slot];
     }
 
-    private List<Hour> covered(long nowMillis) {
+    private List<Hour> coveredHours(long nowMillis) {
         long oldest = hourNumber(nowMillis) - HOURS + 1;
         return Arrays.stream(hours)
                 .filter(hour -> hour != null && hour.number >= oldest)
@@ -85,45 +89,47 @@
         }
     }
 
-    /** Good and bad requests of one customer in each hour, in one array since there may be thousands of customers. */
+    /**
+     * Good and bad requests of one customer in each hour, in a single array since there may be thousands of customers.
+     */
     private static final class CustomerHours {
         private final int[] counts = new int[2 * HOURS];
-        private long newest;
+        private long newestHour;
 
         CustomerHours(long hour) {
-            newest = hour;
+            newestHour = hour;
         }
 
         void add(boolean isGood, long hour) {
             advance(hour);
-            counts[place(hour) + (isGood ? 0 : 1)]++;
+            counts[offset(hour) + (isGood ? 0 : 1)]++;
         }
 
-        boolean isForgotten(long hour) {
-            return hour - newest >= HOURS;
+        boolean isExpired(long hour) {
+            return hour - newestHour >= HOURS;
         }
 
         BurnSnapshot.CustomerCounts counts(String name, long hour) {
             advance(hour);
             long good = 0;
             long bad = 0;
-            for (int place = 0; place < counts.length; place += 2) {
-                good += counts[place];
-                bad += counts[place + 1];
+            for (int offset = 0; offset < counts.length; offset += 2) {
+                good += counts[offset];
+                bad += counts[offset + 1];
             }
             return new BurnSnapshot.CustomerCounts(name, good, bad);
         }
 
-        /** Forgets the hours that make room for those up to the given one. */
+        /** Clears the counts of expired hours, whose positions are reused for the hours up to the given one. */
         private void advance(long hour) {
-            for (long next = Math.max(newest, hour - HOURS) + 1; next <= hour; next++) {
-                counts[place(next)] = 0;
-                counts[place(next) + 1] = 0;
+            for (long next = Math.max(newestHour, hour - HOURS) + 1; next <= hour; next++) {
+                counts[offset(next)] = 0;
+                counts[offset(next) + 1] = 0;
             }
-            newest = Math.max(newest, hour);
+            newestHour = Math.max(newestHour, hour);
         }
 
-        private static int place(long hour) {
+        private static int offset(long hour) {
             return 2 * (int) Math.floorMod(hour, (long) HOURS);
         }
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/ObjectiveOutcome.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/ObjectiveOutcome.java
@@ -4,29 +4,29 @@
 import org.rattanrudder.core.entry.RequestSummary;
 import org.rattanrudder.core.model.ErrorKind;
 
-/** How a request counts against its objective. */
-public enum Judgement {
+/** How a request counts against the objective of its class. */
+public enum ObjectiveOutcome {
     /** Answered within the objective. */
     GOOD,
-    /** Late, or failed by the fault of the system or a target. */
+    /** Late, or failed because of the system or a target. */
     BAD,
-    /** Neither: the caller's own doing. */
+    /** Counts as neither: the caller caused the failure. */
     EXCLUDED;
 
     private static final long MICROS_PER_MILLI = 1_000;
     private static final int SERVER_ERROR = 500;
 
     /** Returns how the ended request counts against the objective of its class. */
-    public static Judgement of(RequestSummary summary, RequestClass objective) {
+    public static ObjectiveOutcome of(RequestSummary summary, RequestClass objective) {
         long objectiveMicros = objective.objectiveMillis() * MICROS_PER_MILLI;
         if (summary.error().isPresent()) {
             return ofError(summary, summary.error().get(), objectiveMicros);
         }
-        boolean inTime = summary.firstByteMicros() >= 0 && summary.firstByteMicros() <= objectiveMicros;
-        return inTime && summary.status() < SERVER_ERROR ? GOOD : BAD;
+        boolean isInTime = summary.firstByteMicros() >= 0 && summary.firstByteMicros() <= objectiveMicros;
+        return isInTime && summary.status() < SERVER_ERROR ? GOOD : BAD;
     }
 
-    private static Judgement ofError(RequestSummary summary, ErrorKind kind, long objectiveMicros) {
+    private static ObjectiveOutcome ofError(RequestSummary summary, ErrorKind kind, long objectiveMicros) {
         return switch (kind) {
             case MALFORMED_REQUEST,
                     UNAUTHENTICATED,
@@ -42,7 +42,7 @@
                     REQUEST_QUARANTINED,
                     REVISION_CONFLICT,
                     INVALID_DOCUMENT -> EXCLUDED;
-            // A caller that left after the objective had passed has left since the answer was late.
+            // A caller that cancelled after the objective had passed did so because the answer was late.
             case CANCELLED -> summary.firstByteMicros() < 0 && summary.totalMicros() > objectiveMicros ? BAD : EXCLUDED;
             case DEADLINE_UNREACHABLE,
                     OVERLOADED,
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/SlotRing.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/SlotRing.java
@@ -4,12 +4,12 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Good and bad requests in slots of equal length; the oldest slot makes room for the newest. */
+/** A ring buffer of the numbers of good and bad requests in time slots of equal length. */
 final class SlotRing {
     static final long MINUTE_MILLIS = 60_000;
     static final long QUARTER_MILLIS = 900_000;
 
-    private static final long NEVER = Long.MIN_VALUE;
+    private static final long EMPTY_SLOT = Long.MIN_VALUE;
 
     private final long slotMillis;
     private final long[] starts;
@@ -22,7 +22,7 @@
         this.starts = new long[slots];
         this.good = new long[slots];
         this.bad = new long[slots];
-        Arrays.fill(starts, NEVER);
+        Arrays.fill(starts, EMPTY_SLOT);
     }
 
     static SlotRing ofMinutes() {
@@ -45,7 +45,7 @@
         bad[slot] += isGood ? 0 : 1;
     }
 
-    /** Returns the slots that the ring still covers, oldest first. */
+    /** Returns the slots that the ring covers and that had requests, oldest first. */
     List<BurnSnapshot.SlotCounts> slots(long nowMillis) {
         long newest = Math.floorDiv(nowMillis, slotMillis);
         List<BurnSnapshot.SlotCounts> counts = new ArrayList<>();
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/Window.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/Window.java
@@ -1,6 +1,6 @@
 package org.rattanrudder.core.burn;
 
-/** The stretches of time that the report looks back over. */
+/** The time windows of the burn report. */
 public enum Window {
     /** The last five minutes. */
     FIVE_MINUTES("5 min", 300_000L, SlotRing.MINUTE_MILLIS),
@@ -21,7 +21,7 @@
         this.slotMillis = slotMillis;
     }
 
-    /** Returns its name in tables, such as {@code 5 min}. */
+    /** Returns its label in tables, such as {@code 5 min}. */
     public String label() {
         return label;
     }
@@ -31,14 +31,14 @@
         return millis;
     }
 
-    /** Returns whether it is counted in minutes; otherwise in quarters of an hour. */
+    /** Returns whether it is counted in slots of a minute; otherwise the slots are quarters of an hour. */
     public boolean isCountedInMinutes() {
         return slotMillis == SlotRing.MINUTE_MILLIS;
     }
 
     /**
-     * Returns where the window begins. It ends with the running slot, which isn't over yet, so it may be up to one slot
-     * shorter than its name says.
+     * Returns when the window starts. It ends with the current slot, which isn't complete yet, so it may be up to
+     * one slot shorter than its label says.
      */
     public long startMillis(long nowMillis) {
         return Math.floorDiv(nowMillis, slotMillis) * slotMillis - millis + slotMillis;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/burn/package-info.java
@@ -1,7 +1,7 @@
 /**
- * How fast the services use up their error budgets: counts at each entry, merged soundly over all of them.
+ * Error budget burn rates of the services: counted at each entry and merged over all entries.
  *
- * <p>Front class: {@link org.rattanrudder.core.burn.BurnLedger}, which counts at one entry;
- * {@link org.rattanrudder.core.burn.BurnReport} merges.
+ * <p>Main classes: {@link org.rattanrudder.core.burn.BurnLedger} counts at one entry, and {@link
+ * org.rattanrudder.core.burn.BurnReport} merges the counts.
  */
 package org.rattanrudder.core.burn;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/burn/BurnReportTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/burn/BurnReportTest.java
@@ -30,9 +30,9 @@
     private static final int ENTRIES = 3;
     private static final RequestClass CHECK = new RequestClass("check", 0, 10_000, 1_500, 0.99);
 
-    /** Differential: the merged report against a list of all requests, which is filtered and counted anew. */
+    /** Compares the merged report with a list of all requests that is filtered and counted for each window. */
     @Property(seed = "41", tries = 60)
-    void theMergedReportCountsWhatAListOfAllRequestsCounts(@ForAll("requests") List<Sample> samples) {
+    void aMergedReportMatchesCountsOverAllRequests(@ForAll("requests") List<Sample> samples) {
         long now = end(samples);
         BurnReport report = merged(ledgers(samples), now);
 
@@ -52,7 +52,7 @@
     }
 
     @Property(seed = "42", tries = 60)
-    void mergingEqualsOneLedgerThatSawAll(@ForAll("requests") List<Sample> samples) {
+    void aMergedReportEqualsTheReportOfASingleLedger(@ForAll("requests") List<Sample> samples) {
         BurnLedger one = ledger("one", START);
         samples.forEach(sample -> one.record(sample.summary(), CHECK, sample.atMillis));
 
@@ -61,7 +61,7 @@
     }
 
     @Property(seed = "43", tries = 60)
-    void theOrderAndGroupingOfMergesChangesNothing(@ForAll("requests") List<Sample> samples, @ForAll long shuffle) {
+    void mergingIsAssociativeAndCommutative(@ForAll("requests") List<Sample> samples, @ForAll long shuffle) {
         List<BurnSnapshot> snapshots = snapshots(ledgers(samples), end(samples));
         BurnReport first = BurnReport.of(snapshots.get(0));
         BurnReport second = BurnReport.of(snapshots.get(1));
@@ -76,11 +76,11 @@
     }
 
     /**
-     * A balancer may lead two of the command's questions to one entry, so that its failures would count twice and raise
-     * an alert for nothing: the report has to keep one snapshot of an incarnation, the newest.
+     * A load balancer may route two queries of the command to the same entry. If its failures counted twice, an
+     * alert could be raised wrongly; so the report keeps only the newest snapshot of an incarnation.
      */
     @Test
-    void anEntryAskedTwiceCountsOnceWithItsNewestSnapshot() {
+    void twoSnapshotsOfOneEntryCountOnce() {
         BurnLedger ledger = ledger("e1", START);
         ledger.record(new Sample(START + 1, false, "depo-sever", 0).summary(), CHECK, START + 1);
         BurnReport early = BurnReport.of(ledger.snapshot(START + 2));
@@ -92,11 +92,11 @@
     }
 
     /**
-     * An entry is replaced after two hours of failures; its memory goes with it, and the new one has counted none.
-     * A report that took the missing counts for zero would tell the operator that all was well.
+     * An entry is replaced after two hours of failures, and its counts are lost. A report that took the missing
+     * counts for zero would tell the operator that all was well.
      */
     @Test
-    void whatAReplacedEntryTookWithItIsAGapAndNotZero() {
+    void theLostCountsOfAReplacedEntryAreReportedAsAGap() {
         BurnLedger old = ledger("old", START);
         BurnLedger replacement = ledger("new", START + 3 * DAY);
         long now = START + 3 * DAY + 3_600_000;
@@ -121,7 +121,7 @@
         "2, 98, 10, 90, LASTING",
         "0, 100, 50, 100, ''",
     })
-    void anAlertNeedsItsLongAndItsShortWindow(int bad, int good, int oldBad, int oldGood, String alerts) {
+    void anAlertNeedsBothItsWindowsAboveTheThreshold(int bad, int good, int oldBad, int oldGood, String alerts) {
         BurnLedger ledger = ledger("e1", START);
         long old = START + DAY;
         long now = START + 2 * DAY;
@@ -150,20 +150,21 @@
         "CANCELLED, -1, 1600000, 499, BAD",
         "CANCELLED, 1000, 1600000, 499, EXCLUDED",
     })
-    void aRequestIsJudgedByWhoseFaultItWas(
-            String error, long firstByteMicros, long totalMicros, int status, Judgement judgement) {
+    void theOutcomeDependsOnWhoCausedTheError(
+            String error, long firstByteMicros, long totalMicros, int status, ObjectiveOutcome outcome) {
         Optional<ErrorKind> kind =
                 Optional.of(error).filter(name -> !name.isEmpty()).map(ErrorKind::valueOf);
         RequestSummary summary = new RequestSummary(
                 "1-1", "s", "c", "check", "t", 1, firstByteMicros, totalMicros, kind, status, Usage.NONE);
 
-        assertThat(Judgement.of(summary, CHECK)).isEqualTo(judgement);
+        assertThat(ObjectiveOutcome.of(summary, CHECK)).isEqualTo(outcome);
     }
 
     @Provide
     Arbitrary<List<Sample>> requests() {
-        // Evenly spread, since the generator's usual preference for small numbers leaves hours and slots unused. Dense
-        // ones wrap the rings of hours while customers stay known, sparse ones those of quarters.
+        // The times are uniformly distributed, since the generator's default preference for small numbers would leave
+        // hours and slots unused. Dense samples wrap around the rings of hours while customers stay known, sparse ones
+        // those of quarters.
         return Arbitraries.of(4 * DAY, DAY / 2).flatMap(BurnReportTest::requestsWithin);
     }
 
@@ -237,7 +238,7 @@
         return samples.get(samples.size() - 1).atMillis + 1;
     }
 
-    /** One request: when it ended, whether well, whose it was and which entry had it. */
+    /** One request: when it ended, whether it was good, its customer and its entry. */
     record Sample(long atMillis, boolean good, String customer, int entry) {
         RequestSummary summary() {
             long firstByte = good ? 900_000 : 2_000_000;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/burn/LatencyHistogramTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/burn/LatencyHistogramTest.java
@@ -12,10 +12,10 @@
 import net.jqwik.api.constraints.Size;
 
 class LatencyHistogramTest {
-    private static final long HIGHEST = (1L << 40) - 1;
+    private static final long MAX_MICROS = (1L << 40) - 1;
 
     @Property(seed = "31")
-    void aBucketsBoundIsAtMostASixteenthAboveItsValues(@ForAll @LongRange(max = HIGHEST) long micros) {
+    void theUpperBoundOfABucketIsAtMostASixteenthAboveItsValues(@ForAll @LongRange(max = MAX_MICROS) long micros) {
         int bucket = LatencyHistogram.bucketOf(micros);
 
         assertThat(bucket).isBetween(0, LatencyHistogram.BUCKETS - 1);
@@ -27,7 +27,7 @@
     }
 
     @Property(seed = "32", tries = 200)
-    void aQuantileIsThatOfTheSortedValuesWithinASixteenth(
+    void aQuantileIsExactWithinASixteenth(
             @ForAll @Size(min = 1, max = 60) List<@LongRange(max = 5_000_000) Long> values,
             @ForAll @IntRange(min = 1, max = 100) int percent) {
         List<Long> sorted = values.stream().sorted().toList();
@@ -37,8 +37,9 @@
     }
 
     @Property(seed = "33", tries = 200)
-    void aSumIsTheHistogramOfAllValues(
-            @ForAll List<@LongRange(max = HIGHEST) Long> left, @ForAll List<@LongRange(max = HIGHEST) Long> right) {
+    void aSumEqualsTheHistogramOfAllValues(
+            @ForAll List<@LongRange(max = MAX_MICROS) Long> left,
+            @ForAll List<@LongRange(max = MAX_MICROS) Long> right) {
         List<Long> all = new ArrayList<>(left);
         all.addAll(right);
 
