--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/companion/EngineCallTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/companion/EngineCallTest.java
@@ -59,7 +59,7 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Returns the last event and the numbers of the chunks before it, such as {@code 0 1 TargetEnded}. */
+    /** Returns the last event and the numbers of the chunks before it, such as {@code 0 1 TargetAnswerEnded}. */
     private String summary() {
         return events.stream()
                 .filter(event -> !(event instanceof CompanionEvent.TargetAnswerStarted))
@@ -99,11 +99,11 @@
      */
     @ParameterizedTest
     @CsvSource({
-        "0, false, 0 1 D, 0 1 TargetEnded",
+        "0, false, 0 1 D, 0 1 TargetAnswerEnded",
         "0, false, 0 1, 0 1 TargetFailed",
         "0, false, 0 2 D, 0 TargetFailed",
-        "2, true, 2 3 D, 2 3 TargetEnded",
-        "2, true, 0 1 2 3 D, 2 3 TargetEnded",
+        "2, true, 2 3 D, 2 3 TargetAnswerEnded",
+        "2, true, 0 1 2 3 D, 2 3 TargetAnswerEnded",
         "2, true, 4 D, TargetFailed"
     })
     void eachEventPassesOnceAndOnlyAMarkedEndIsAnEnd(long from, boolean resumed, String sent, String expected) {
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
@@ -100,11 +100,11 @@
     @ParameterizedTest
     @CsvSource({
         "200, {\"offset\":12}, Appended[offset=12]",
-        "200, {}, Lost[]",
+        "200, {}, Unknown[]",
         "429, '', Refused[]",
         "503, '', Refused[]",
-        "500, '', Lost[]",
-        "502, '', Lost[]"
+        "500, '', Unknown[]",
+        "502, '', Unknown[]"
     })
     void onlyAClearAnswerIsTakenAsOne(int status, String body, String expected) throws Exception {
         try (TestServer log = new TestServer(exchange -> {
