--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/ClaimSettings.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/ClaimSettings.java
@@ -1,21 +1,22 @@
 package org.rattanrudder.core.claims;
 
 /**
- * Bounds and waits of a {@link KeyClaims}.
+ * Limits and timeouts of a {@link KeyClaims}.
  *
- * @param claimTimeoutMicros how long an attempt waits for its claim at the most; far less than any key retention
- * @param inProgressMicros how long another's claim without an outcome counts as running
- * @param maxRecordedBodyBytes the largest body that is recorded
- * @param bodyBudget the most bytes of recorded bodies kept in memory
- * @param capacity the most keys with work of this process at once
+ * @param claimTimeoutMicros the longest time that an attempt waits for its claim to be read back; must be far below any
+ *     key retention
+ * @param presumedRunningMicros how long a claim of another companion without an outcome is taken for a running call
+ * @param maxRecordedBodyBytes the size of the largest response body that is recorded
+ * @param maxStoredBodyBytes the total size of recorded bodies kept in memory
+ * @param maxPendingKeys the maximum number of keys that this process claims, runs or records at once
  * @param logRetentionMicros how long the log keeps a record
  */
 public record ClaimSettings(
         long claimTimeoutMicros,
-        long inProgressMicros,
+        long presumedRunningMicros,
         int maxRecordedBodyBytes,
-        long bodyBudget,
-        int capacity,
+        long maxStoredBodyBytes,
+        int maxPendingKeys,
         long logRetentionMicros) {
     /** Settings for a log that keeps its records for seven days. */
     public static final ClaimSettings DEFAULT =
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -16,18 +16,20 @@
 import org.rattanrudder.core.model.ServiceName;
 
 /**
- * Lets each keyed call run at most once over all companions: a run needs its claim read back from the log first.
+ * Ensures that each call with an idempotency key runs at most once across all companions: a companion appends a claim
+ * of the key to the log and runs the call only after it has read the claim back as the first valid one.
  *
- * <p>A companion asks for each attempt, hands on what concerns the stream of claims, and tells how runs end:
+ * <p>The companion asks for admission of each attempt, passes on the events of the claims stream and records the
+ * outcome of each run:
  *
  * <pre>{@code
- * KeyDecision decision = claims.ask(attempt, KeyedCall.of(service, customer, key, call), now, now + deadline);
- * claims.read(records, caughtUp, now, (held, later) -> carryOut(held, later));
- * claims.answered(attempt, status, headers, body);
- * claims.pump(now, appender);
+ * KeyDecision decision = claims.admit(attempt, KeyedCall.of(service, customer, key, call), now, now + deadline);
+ * claims.onRecords(records, caughtUp, now, (heldAttempt, later) -> carryOut(heldAttempt, later));
+ * claims.recordAnswer(attempt, status, headers, body);
+ * claims.sendDue(now, appender);
  * }</pre>
  *
- * <p>The stream must be read from the oldest record that the log keeps.
+ * <p>The stream must be read from the oldest record that the log retains.
  */
 public final class KeyClaims {
     private final long incarnation;
@@ -38,19 +40,19 @@
     private final KeyLedger ledger;
     private final BatchDeduplicator deduplicator;
     private final KeyExpiry expiry;
-    private final OwnKeys own = new OwnKeys();
+    private final PendingKeys pendingKeys = new PendingKeys();
     private boolean caughtUp;
-    private boolean saidStarted;
+    private boolean startRecorded;
     private long lastOffset;
 
     /**
-     * Creates one that knows nothing; it lets nothing run before the stream was read to its end.
+     * Creates an instance without any keys. It admits no attempt until the stream was read to its end.
      *
-     * @param incarnation this process's incarnation, the claimant; the writer's too
-     * @param instance this process's name, the same after a restart
-     * @param settings bounds and waits
-     * @param writer writes the stream of claims
-     * @param random spreads the times to come back
+     * @param incarnation the incarnation of this process, written as the claimant; must equal the writer's
+     * @param instance the name of this process, which stays the same after a restart
+     * @param settings limits and timeouts
+     * @param writer appends to the claims stream
+     * @param random draws the jitter of retry-after times
      */
     public KeyClaims(
             long incarnation, InstanceName instance, ClaimSettings settings, LogWriter writer, RandomGenerator random) {
@@ -59,163 +61,166 @@
         this.settings = settings;
         this.writer = writer;
         this.refusals = new KeyRefusals(settings.claimTimeoutMicros(), random);
-        this.ledger = new KeyLedger(settings.bodyBudget());
+        this.ledger = new KeyLedger(settings.maxStoredBodyBytes());
         this.deduplicator = new BatchDeduplicator(settings.logRetentionMicros());
         this.expiry = new KeyExpiry(ledger, random);
     }
 
-    /** Honours the keys of a service for as long as its document says. */
+    /** Sets how long the keys of a service are retained, as its document says. */
     public void setKeyRetention(ServiceName service, long keyRetentionMicros) {
-        expiry.honour(service, keyRetentionMicros);
+        expiry.setRetention(service, keyRetentionMicros);
     }
 
     /**
-     * Asks whether an attempt may run. If it is held, one decision on it follows through a sink, unless it is given up
-     * first.
+     * Decides whether an attempt may run. For a held attempt, exactly one decision follows through a listener, unless
+     * the attempt is cancelled first.
      *
-     * @param attempt the attempt; never asked for before
-     * @param call what it would run
+     * @param attempt the attempt; each attempt is passed only once
+     * @param call the call that it would run
      * @param nowMicros the time
-     * @param deadlineMicros when its answer would be too late
+     * @param deadlineMicros the deadline of its answer
      */
     public KeyDecision admit(AttemptId attempt, KeyedCall call, long nowMicros, long deadlineMicros) {
-        OwnKey known = own.find(call.key());
-        if (known != null && known.phase == OwnKey.Phase.RUNNING) {
-            return refusals.inProgressOrReused(known.call, call);
+        PendingKey pending = pendingKeys.find(call.key());
+        if (pending != null && pending.phase == PendingKey.Phase.RUNNING) {
+            return refusals.inProgressOrReused(pending.call, call);
         }
         Optional<KeyState> state = ledger.state(call.key());
-        if (state.isPresent() && !(known != null && known.end instanceof LogEntry.KeyRelease)) {
-            return repeat(call, state.get(), nowMicros);
+        if (state.isPresent() && !(pending != null && pending.outcome instanceof LogEntry.KeyRelease)) {
+            return decideRepeat(call, state.get(), nowMicros);
         }
-        if (known != null && known.phase == OwnKey.Phase.CLAIMING) {
-            return join(known, attempt, call, nowMicros, deadlineMicros);
+        if (pending != null && pending.phase == PendingKey.Phase.CLAIMING) {
+            return joinPendingClaim(pending, attempt, call, nowMicros, deadlineMicros);
         }
         return claim(attempt, call, nowMicros, deadlineMicros);
     }
 
-    /** Takes an attempt back: it is gone before it ran. Nothing is decided on it any more. */
+    /** Cancels an attempt that hasn't run. No decision on it follows. */
     public void cancel(AttemptId attempt) {
-        OwnKey key = own.find(attempt);
-        if (key != null && key.phase == OwnKey.Phase.CLAIMING) {
+        PendingKey key = pendingKeys.find(attempt);
+        if (key != null && key.phase == PendingKey.Phase.CLAIMING) {
             abandon(key);
         }
     }
 
-    /** Tells that an attempt which ran got this answer. */
+    /** Records the answer of an attempt that ran. */
     public void recordAnswer(AttemptId attempt, int status, List<Header> headers, byte[] body) {
         RecordedAnswer answer = RecordedAnswer.of(status, headers, body, settings.maxRecordedBodyBytes());
-        end(attempt, answer::toEntry);
+        recordOutcome(attempt, answer::toEntry);
     }
 
-    /** Tells that an attempt which was let run has not reached its target and never will. */
+    /** Records that an admitted attempt has not reached its target and never will. */
     public void recordNotRun(AttemptId attempt) {
-        end(attempt, LogEntry.KeyRelease::new);
+        recordOutcome(attempt, LogEntry.KeyRelease::new);
     }
 
-    /** Tells that an attempt may have run and its answer won't be known. */
+    /** Records that an attempt may have run and that its answer will never be known. */
     public void recordUnresolved(AttemptId attempt) {
-        end(attempt, LogEntry.KeyUnresolved::new);
+        recordOutcome(attempt, LogEntry.KeyUnresolved::new);
     }
 
-    /** Takes what was read from the stream of claims, and decides on the attempts whose claims are in it. */
-    public void onRecords(List<LogRecord> records, boolean reachedEnd, long nowMicros, KeyDecision.Listener sink) {
-        // Failure: this process was frozen, a key's retention passed meanwhile and another ran it; on waking, the old
-        // claim is read back as the holder. It shows as a second run. Attempts that waited too long are given up before
-        // the records are looked at, and the wait is far shorter than any retention.
-        expireWaits(nowMicros, sink);
+    /** Applies records read from the claims stream, and decides on the attempts whose claims are among them. */
+    public void onRecords(List<LogRecord> records, boolean reachedEnd, long nowMicros, KeyDecision.Listener listener) {
+        // Failure: this process is paused for longer than a key's retention and another companion runs the call
+        // meanwhile. On resuming, this process reads back its old claim as the valid one and runs the call a second
+        // time. Attempts that waited too long are therefore dropped before the records are applied; the claim timeout
+        // is far shorter than any retention.
+        expireTimedOutAttempts(nowMicros, listener);
         writer.onRecords(records, reachedEnd);
         for (LogRecord record : records) {
-            noteOffset(record.offset());
+            trackOffset(record.offset());
             if (!deduplicator.admit(record, nowMicros)) {
                 continue;
             }
             for (LogEntry entry : record.batch().entries()) {
-                boolean tookHold = ledger.apply(record.offset(), record.batch().writer(), entry, nowMicros);
+                boolean accepted = ledger.apply(record.offset(), record.batch().writer(), entry, nowMicros);
                 if (record.batch().writer() == incarnation) {
-                    readBack(entry, tookHold, nowMicros, sink);
+                    onOwnEntry(entry, accepted, nowMicros, listener);
                 }
             }
         }
         if (reachedEnd && !caughtUp) {
             caughtUp = true;
-            sayStarted();
+            recordStarted();
         }
     }
 
-    /** Notes that the stream couldn't be read. */
+    /** Records that the stream couldn't be read. */
     public void onReadFailed() {
         writer.onReadFailed();
     }
 
-    /** Takes the answer to an append. */
+    /** Handles the result of an append. */
     public void onAppendResult(long sequence, AppendResult result, long nowMicros) {
         writer.onAppendResult(sequence, result, nowMicros);
     }
 
-    /** Gives up attempts whose wait is over, and notes expired keys; call it at each tick. */
-    public void tick(long nowMicros, KeyDecision.Listener sink) {
-        expireWaits(nowMicros, sink);
-        // Failure: this process was frozen for longer than the log keeps records, and its own entries were dropped
-        // before it read them: their keys would be refused for ever. A claim that turns up after all is given back.
-        own.forgetClaimedBefore(nowMicros - settings.logRetentionMicros());
+    /** Times out attempts that waited too long for their claims, and records expired keys; call it at each tick. */
+    public void tick(long nowMicros, KeyDecision.Listener listener) {
+        expireTimedOutAttempts(nowMicros, listener);
+        // Failure: this process is paused for longer than the log retains records, and its own entries are dropped
+        // before it reads them: their keys would be refused for ever. If such a claim is read after all, it is
+        // released.
+        pendingKeys.removeClaimedBefore(nowMicros - settings.logRetentionMicros());
         if (caughtUp) {
-            expiry.due(nowMicros).forEach(writer::record);
+            expiry.entriesDue(nowMicros).forEach(writer::record);
         }
     }
 
-    /** Sends what is due; call it at the end of each event. */
+    /** Appends the batch that is due; call it at the end of each event. */
     public void sendDue(long nowMicros, LogWriter.Appender appender) {
         writer.sendDue(nowMicros, appender);
     }
 
-    /** Returns whether new keys may be claimed: the log answers, and its claims have been read. */
+    /** Returns whether new keys may be claimed: the log is available and its claims have been read to the end. */
     public boolean isLogAvailable(long nowMicros) {
         return caughtUp && writer.isAvailable(nowMicros);
     }
 
-    /** Returns whether an attempt was let run and its end hasn't been told. */
+    /** Returns whether an attempt was admitted and its outcome hasn't been recorded. */
     public boolean isRunning(AttemptId attempt) {
-        OwnKey key = own.find(attempt);
-        return key != null && key.phase == OwnKey.Phase.RUNNING;
+        PendingKey key = pendingKeys.find(attempt);
+        return key != null && key.phase == PendingKey.Phase.RUNNING;
     }
 
-    /** Returns whether every run's end is known to be in the log. */
+    /** Returns whether no claim is open and the outcome of every run has been read back from the log. */
     public boolean isDrained() {
-        return own.size() == 0;
+        return pendingKeys.size() == 0;
     }
 
-    /** Returns the keys as the log has them. */
+    /** Returns the state of all keys according to the log. */
     public KeyLedger ledger() {
         return ledger;
     }
 
-    private KeyDecision repeat(KeyedCall call, KeyState state, long nowMicros) {
+    private KeyDecision decideRepeat(KeyedCall call, KeyState state, long nowMicros) {
         if (!state.request().equals(call.request())) {
             return KeyRefusals.reused();
         }
         if (state instanceof KeyState.Answered answered) {
             return new KeyDecision.Replay(answered.answer());
         }
-        OwnKey known = own.find(call.key());
-        if (known != null && known.end instanceof LogEntry.KeyOutcome outcome) {
+        PendingKey pending = pendingKeys.find(call.key());
+        if (pending != null && pending.outcome instanceof LogEntry.KeyOutcome outcome) {
             return new KeyDecision.Replay(RecordedAnswer.of(outcome));
         }
         if (state instanceof KeyState.Claimed claimed && claimed.claimant() != incarnation) {
-            boolean recent = nowMicros - claimed.sinceMicros() < settings.inProgressMicros();
+            boolean recent = nowMicros - claimed.sinceMicros() < settings.presumedRunningMicros();
             return recent ? refusals.inProgress() : KeyRefusals.outcomeUnknown();
         }
         return KeyRefusals.outcomeUnknown();
     }
 
-    private KeyDecision join(OwnKey claiming, AttemptId attempt, KeyedCall call, long nowMicros, long deadlineMicros) {
+    private KeyDecision joinPendingClaim(
+            PendingKey claiming, AttemptId attempt, KeyedCall call, long nowMicros, long deadlineMicros) {
         if (claiming.attempt != null) {
             return refusals.inProgressOrReused(claiming.call, call);
         }
         if (!claiming.call.equals(call)) {
             return logUnavailable(nowMicros, "an earlier claim of the key is not settled");
         }
-        // The attempt for which this claim was written was answered "not run" and never runs; the caller's repeat may
-        // use the claim in its place, whether it is already in the log or still on its way.
+        // The attempt for which this claim was written was answered "not run" and never runs. The caller's retry may
+        // use the claim instead, whether it is already in the log or still in flight.
         if (!writer.isAvailable(nowMicros)) {
             return logUnavailable(nowMicros, "the log doesn't answer");
         }
@@ -227,10 +232,10 @@
         if (!caughtUp) {
             return logUnavailable(nowMicros, "the claims are still being read");
         }
-        if (own.size() >= settings.capacity()) {
+        if (pendingKeys.size() >= settings.maxPendingKeys()) {
             return refusals.overloaded();
         }
-        OwnKey key = new OwnKey(call, incarnation, lastOffset, nowMicros);
+        PendingKey key = new PendingKey(call, incarnation, lastOffset, nowMicros);
         LogWriter.OfferResult offer = writer.offer(key.claim, nowMicros);
         if (offer == LogWriter.OfferResult.UNAVAILABLE) {
             return logUnavailable(nowMicros, "the log doesn't answer");
@@ -238,104 +243,104 @@
         if (offer == LogWriter.OfferResult.FULL) {
             return refusals.overloaded();
         }
-        own.add(key);
+        pendingKeys.add(key);
         hold(key, attempt, nowMicros, deadlineMicros);
         return new KeyDecision.Hold();
     }
 
-    private void hold(OwnKey key, AttemptId attempt, long nowMicros, long deadlineMicros) {
-        own.attach(key, attempt, Math.min(deadlineMicros, nowMicros + settings.claimTimeoutMicros()));
+    private void hold(PendingKey key, AttemptId attempt, long nowMicros, long deadlineMicros) {
+        pendingKeys.attach(key, attempt, Math.min(deadlineMicros, nowMicros + settings.claimTimeoutMicros()));
     }
 
-    private void sayStarted() {
-        if (!saidStarted) {
-            saidStarted = true;
+    private void recordStarted() {
+        if (!startRecorded) {
+            startRecorded = true;
             writer.record(new LogEntry.ClaimantStarted(instance));
         }
     }
 
-    private void noteOffset(long offset) {
+    private void trackOffset(long offset) {
         if ((caughtUp || lastOffset > 0) && offset > lastOffset + 1) {
-            // Records were dropped before they were read. What is missing is older than any key's retention, but copies
-            // of this process's own claims may stand between there and the end: no new claim until all is read.
+            // Records were dropped before they were read. The missing ones are older than any key retention, but copies
+            // of this process's own claims may be between the gap and the end: claim nothing until all of it is read.
             caughtUp = false;
         }
         lastOffset = offset;
-        expiry.read(offset);
+        expiry.onRead(offset);
     }
 
-    private void readBack(LogEntry entry, boolean tookHold, long nowMicros, KeyDecision.Listener sink) {
+    private void onOwnEntry(LogEntry entry, boolean accepted, long nowMicros, KeyDecision.Listener listener) {
         if (entry instanceof LogEntry.KeyClaim claim) {
-            OwnKey key = own.find(claim.key());
-            if (key == null && tookHold) {
+            PendingKey key = pendingKeys.find(claim.key());
+            if (key == null && accepted) {
                 writer.record(new LogEntry.KeyRelease(claim.key()));
-            } else if (key != null && key.phase == OwnKey.Phase.CLAIMING) {
-                claimReadBack(key, tookHold, nowMicros, sink);
+            } else if (key != null && key.phase == PendingKey.Phase.CLAIMING) {
+                onOwnClaim(key, accepted, nowMicros, listener);
             }
             return;
         }
-        own.removeEndedBy(entry);
+        pendingKeys.removeCompletedBy(entry);
     }
 
-    private void claimReadBack(OwnKey key, boolean tookHold, long nowMicros, KeyDecision.Listener sink) {
+    private void onOwnClaim(PendingKey key, boolean accepted, long nowMicros, KeyDecision.Listener listener) {
         AttemptId attempt = key.attempt;
-        if (!tookHold) {
-            own.remove(key);
+        if (!accepted) {
+            pendingKeys.remove(key);
             if (attempt != null) {
-                own.detach(key);
-                KeyState holder = ledger.state(key.call.key()).orElseThrow();
-                sink.onDecision(attempt, repeat(key.call, holder, nowMicros));
+                pendingKeys.detach(key);
+                KeyState state = ledger.state(key.call.key()).orElseThrow();
+                listener.onDecision(attempt, decideRepeat(key.call, state, nowMicros));
             }
             return;
         }
-        if (attempt != null && nowMicros - key.claimedMicros >= expiry.longestGrantMicros(key.call.service())) {
-            own.detach(key);
-            sink.onDecision(attempt, logUnavailable(nowMicros, "the claim is too old"));
+        if (attempt != null && nowMicros - key.claimedMicros >= expiry.maxClaimAgeMicros(key.call.service())) {
+            pendingKeys.detach(key);
+            listener.onDecision(attempt, logUnavailable(nowMicros, "the claim is too old"));
         }
         if (key.attempt == null) {
-            // Failure: the caller was told "not run" since the log didn't answer, and the claim turned up later. Its
-            // retry at another companion would meet a claim that no one runs. The claimant, which alone knows that it
-            // never ran, gives the key back in the log.
-            key.phase = OwnKey.Phase.ENDING;
+            // Failure: the caller is answered "not run" because the log doesn't respond, and the claim appears in the
+            // log later. A retry at another companion would find a claim whose call nobody runs. Only the claimant
+            // knows that the call never ran, so it releases the key in the log.
+            key.phase = PendingKey.Phase.ENDING;
             record(key, new LogEntry.KeyRelease(key.call.key()));
             return;
         }
-        key.phase = OwnKey.Phase.RUNNING;
-        sink.onDecision(attempt, new KeyDecision.Run());
+        key.phase = PendingKey.Phase.RUNNING;
+        listener.onDecision(attempt, new KeyDecision.Run());
     }
 
-    private void end(AttemptId attempt, Function<Digest, LogEntry> entry) {
-        OwnKey key = own.find(attempt);
-        if (key == null || key.phase != OwnKey.Phase.RUNNING) {
+    private void recordOutcome(AttemptId attempt, Function<Digest, LogEntry> entry) {
+        PendingKey key = pendingKeys.find(attempt);
+        if (key == null || key.phase != PendingKey.Phase.RUNNING) {
             return;
         }
-        own.detach(key);
-        key.phase = OwnKey.Phase.ENDING;
+        pendingKeys.detach(key);
+        key.phase = PendingKey.Phase.ENDING;
         record(key, entry.apply(key.call.key()));
     }
 
-    private void record(OwnKey key, LogEntry end) {
-        key.end = end;
-        if (writer.record(end) != LogWriter.OfferResult.QUEUED) {
-            own.remove(key);
+    private void record(PendingKey key, LogEntry outcome) {
+        key.outcome = outcome;
+        if (writer.record(outcome) != LogWriter.OfferResult.QUEUED) {
+            pendingKeys.remove(key);
         }
     }
 
-    private void abandon(OwnKey key) {
-        own.detach(key);
+    private void abandon(PendingKey key) {
+        pendingKeys.detach(key);
         if (writer.retract(key.claim)) {
-            own.remove(key);
+            pendingKeys.remove(key);
         }
     }
 
-    private void expireWaits(long nowMicros, KeyDecision.Listener sink) {
-        for (OwnKey key : own.overdue(nowMicros)) {
+    private void expireTimedOutAttempts(long nowMicros, KeyDecision.Listener listener) {
+        for (PendingKey key : pendingKeys.timedOut(nowMicros)) {
             AttemptId attempt = key.attempt;
             if (attempt == null) {
                 continue;
             }
             abandon(key);
-            sink.onDecision(attempt, logUnavailable(nowMicros, "the claim was not read back in time"));
+            listener.onDecision(attempt, logUnavailable(nowMicros, "the claim was not read back in time"));
         }
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyDecision.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyDecision.java
@@ -3,32 +3,32 @@
 import org.rattanrudder.core.model.AttemptId;
 import org.rattanrudder.core.model.Refusal;
 
-/** What is to be done with an attempt to run a keyed call. */
+/** The decision on an attempt to run a call with an idempotency key. */
 public sealed interface KeyDecision {
-    /** Run it now, once; its end must be told. */
+    /** Run the call now, once, and record its outcome. */
     record Run() implements KeyDecision {}
 
-    /** Hold it: a decision follows when its claim is read back, or when the wait is over. */
+    /** Hold the attempt: a decision follows when its claim is read back or has timed out. */
     record Hold() implements KeyDecision {}
 
     /**
-     * Answer with what was recorded; don't run it.
+     * Answer with the recorded answer; don't run the call.
      *
      * @param answer the recorded answer
      */
     record Replay(RecordedAnswer answer) implements KeyDecision {}
 
     /**
-     * Don't run it, now or later.
+     * Refuse the attempt: it is never run.
      *
      * @param refusal why
      */
     record Refuse(Refusal refusal) implements KeyDecision {}
 
-    /** Takes the decisions on attempts that were held. */
+    /** Receives the decisions on held attempts. */
     @FunctionalInterface
     interface Listener {
-        /** Takes the one decision on a held attempt; never {@link Hold}. */
+        /** Called once for each held attempt; the decision is never {@link Hold}. */
         void onDecision(AttemptId attempt, KeyDecision decision);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyExpiry.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyExpiry.java
@@ -9,19 +9,19 @@
 import org.rattanrudder.core.log.LogEntry;
 import org.rattanrudder.core.model.ServiceName;
 
-/** Says in the log which keys have expired, unless another process says so first. */
+/** Writes to the log up to which offset keys have expired, unless another process does so first. */
 final class KeyExpiry {
     private final KeyLedger ledger;
     private final RandomGenerator random;
     private final Map<ServiceName, KeyRetention> retentions = new HashMap<>();
-    private final Map<ServiceName, Long> sayAt = new HashMap<>();
+    private final Map<ServiceName, Long> nextRecordMicros = new HashMap<>();
 
     KeyExpiry(KeyLedger ledger, RandomGenerator random) {
         this.ledger = ledger;
         this.random = random;
     }
 
-    void honour(ServiceName service, long retentionMicros) {
+    void setRetention(ServiceName service, long retentionMicros) {
         KeyRetention known = retentions.get(service);
         if (known == null || known.retentionMicros() != retentionMicros) {
             retentions.put(service, new KeyRetention(retentionMicros));
@@ -29,32 +29,34 @@
     }
 
     /**
-     * Returns how long after it was written a claim may still let its call run. Keys expire this much later than the
-     * retention, so that a key is honoured for its whole retention from its run on.
+     * Returns the maximum age at which a claim may still start its call. Keys expire this much later than their
+     * retention, so that each key is retained in full, counted from the start of its run.
      */
-    long longestGrantMicros(ServiceName service) {
+    long maxClaimAgeMicros(ServiceName service) {
         KeyRetention retention = retentions.get(service);
         return retention == null ? 0 : retention.graceMicros();
     }
 
-    void read(long offset) {
-        retentions.values().forEach(retention -> retention.read(offset));
+    void onRead(long offset) {
+        retentions.values().forEach(retention -> retention.onRead(offset));
     }
 
-    /** Returns the entries to be written now. */
-    List<LogEntry> due(long nowMicros) {
+    /** Returns the entries to append now. */
+    List<LogEntry> entriesDue(long nowMicros) {
         List<LogEntry> entries = new ArrayList<>();
         retentions.forEach((service, retention) -> {
             retention.advance(nowMicros);
             OptionalLong offset = retention.expiredAbove(ledger.expiredUpTo(service));
             if (offset.isEmpty() || !ledger.services().contains(service)) {
-                sayAt.remove(service);
+                nextRecordMicros.remove(service);
                 return;
             }
-            // Each process draws its own delay, so that mostly one of them says it and the others read it.
-            long at = sayAt.computeIfAbsent(service, drawn -> nowMicros + random.nextLong(retention.spacingMicros()));
+            // Each process draws a random delay, so that usually only one of them writes the entry and the others read
+            // it.
+            long at = nextRecordMicros.computeIfAbsent(
+                    service, drawn -> nowMicros + random.nextLong(retention.checkpointIntervalMicros()));
             if (nowMicros >= at) {
-                sayAt.put(service, nowMicros + retention.spacingMicros());
+                nextRecordMicros.put(service, nowMicros + retention.checkpointIntervalMicros());
                 entries.add(new LogEntry.KeysExpired(service, offset.getAsLong()));
             }
         });
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyLedger.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyLedger.java
@@ -15,41 +15,44 @@
 import org.rattanrudder.core.model.ServiceName;
 
 /**
- * The keys that the log has claimed: the same for every reader, since it depends on the order of entries alone.
+ * The claimed keys according to the log. The state depends only on the order of the entries, so it is the same at every
+ * reader.
  *
- * <p>The first claim of a key holds; only its claimant may end it. No one takes a key over. A key leaves when its
- * holder gives it back unrun, or when an entry of the log says that all claims up to an offset have expired.
+ * <p>The first claim of a key is the valid one, and only its claimant may complete it; no other process takes it over.
+ * A key is removed when its claimant releases it without having run the call, or when an entry of the log expires all
+ * claims up to an offset.
  */
 public final class KeyLedger {
-    private static final int MOST_INSTANCES = 4096;
+    private static final int MAX_INSTANCES = 4096;
 
-    private final long bodyBudget;
-    private final Map<ServiceName, Map<Digest, Held>> services = new HashMap<>();
-    private final Map<ServiceName, Long> expired = new HashMap<>();
-    private final Map<Long, Map<Digest, Long>> open = new HashMap<>();
+    private final long maxBodyBytes;
+    private final Map<ServiceName, Map<Digest, ClaimedKey>> services = new HashMap<>();
+    private final Map<ServiceName, Long> expiredOffsets = new HashMap<>();
+    private final Map<Long, Map<Digest, Long>> openClaims = new HashMap<>();
     private final Map<InstanceName, Long> incarnations = new LinkedHashMap<>();
-    private final Deque<Held> bodies = new ArrayDeque<>();
+    private final Deque<ClaimedKey> answersWithBody = new ArrayDeque<>();
     private long bodyBytes;
-    private int keys;
+    private int keyCount;
 
     /**
      * Creates an empty ledger.
      *
-     * @param bodyBudget the most bytes of recorded bodies that are kept; beyond it the oldest keep status and headers
+     * @param maxBodyBytes the total size of the recorded bodies that are kept; above it, the oldest answers lose their
+     *     bodies and keep status and headers
      */
-    public KeyLedger(long bodyBudget) {
-        this.bodyBudget = bodyBudget;
+    public KeyLedger(long maxBodyBytes) {
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** One claimed key. The answer is null while there is none, and without effect once the key is unresolved. */
-    private static final class Held {
+    /** One claimed key. The answer is null until it is recorded, and is ignored once the key is unresolved. */
+    private static final class ClaimedKey {
         private final Digest request;
         private final long claimant;
         private final long claimOffset;
         private boolean unresolved;
         private RecordedAnswer answer;
 
-        private Held(Digest request, long claimant, long offset) {
+        private ClaimedKey(Digest request, long claimant, long offset) {
             this.request = request;
             this.claimant = claimant;
             this.claimOffset = offset;
@@ -61,51 +64,51 @@
     }
 
     /**
-     * Takes the next entry of the stream; copies of batches must have been dropped before.
+     * Applies the next entry of the stream; duplicate batches must have been dropped before.
      *
      * @param offset the offset of its batch
      * @param writer the incarnation that wrote it
-     * @param entry the entry; others than those of keys change nothing
-     * @param nowMicros when it is read
-     * @return whether it is a claim that took hold
+     * @param entry the entry; entries that don't concern keys are ignored
+     * @param nowMicros the time at which it is read
+     * @return whether the entry is a claim that is now the valid one of its key
      */
     public boolean apply(long offset, long writer, LogEntry entry, long nowMicros) {
         if (entry instanceof LogEntry.KeyClaim claim) {
             return claim(offset, writer, claim, nowMicros);
         }
         if (entry instanceof LogEntry.KeyOutcome outcome) {
-            close(outcome.key(), writer).ifPresent(held -> keepAnswer(held, RecordedAnswer.of(outcome)));
+            close(outcome.key(), writer).ifPresent(claimed -> storeAnswer(claimed, RecordedAnswer.of(outcome)));
         } else if (entry instanceof LogEntry.KeyUnresolved unresolved) {
-            close(unresolved.key(), writer).ifPresent(held -> held.unresolved = true);
+            close(unresolved.key(), writer).ifPresent(claimed -> claimed.unresolved = true);
         } else if (entry instanceof LogEntry.KeyRelease release) {
             release(release.key(), writer);
         } else if (entry instanceof LogEntry.KeysExpired keysExpired) {
             expire(keysExpired.service(), keysExpired.upToOffset());
         } else if (entry instanceof LogEntry.ClaimantStarted started) {
-            started(started.instance(), writer);
+            onClaimantStarted(started.instance(), writer);
         }
         return false;
     }
 
-    /** Returns what the log says of a key; empty if it is free. */
+    /** Returns the state of a key; empty if it is not claimed. */
     public Optional<KeyState> state(Digest key) {
-        Held held = find(key);
-        if (held == null) {
+        ClaimedKey claimed = find(key);
+        if (claimed == null) {
             return Optional.empty();
         }
-        if (held.unresolved) {
-            return Optional.of(new KeyState.Unresolved(held.request));
+        if (claimed.unresolved) {
+            return Optional.of(new KeyState.Unresolved(claimed.request));
         }
-        if (held.answer != null) {
-            return Optional.of(new KeyState.Answered(held.request, held.answer));
+        if (claimed.answer != null) {
+            return Optional.of(new KeyState.Answered(claimed.request, claimed.answer));
         }
-        long since = open.get(held.claimant).get(key);
-        return Optional.of(new KeyState.Claimed(held.request, held.claimant, since));
+        long since = openClaims.get(claimed.claimant).get(key);
+        return Optional.of(new KeyState.Claimed(claimed.request, claimed.claimant, since));
     }
 
     /** Returns the offset up to which the claims of a service have expired; 0 if none has. */
     public long expiredUpTo(ServiceName service) {
-        return expired.getOrDefault(service, 0L);
+        return expiredOffsets.getOrDefault(service, 0L);
     }
 
     /** Returns the services that have claimed keys. */
@@ -113,125 +116,128 @@
         return Set.copyOf(services.keySet());
     }
 
-    /** Returns how many keys are held. */
+    /** Returns the number of claimed keys. */
     public int size() {
-        return keys;
+        return keyCount;
     }
 
     private boolean claim(long offset, long writer, LogEntry.KeyClaim claim, long nowMicros) {
         if (claim.claimant() != writer) {
             return false;
         }
-        Map<Digest, Held> ofService = services.computeIfAbsent(claim.service(), service -> new LinkedHashMap<>());
-        Held held = ofService.get(claim.key());
-        if (held != null && claim.readOffset() < held.claimOffset) {
+        Map<Digest, ClaimedKey> ofService = services.computeIfAbsent(claim.service(), service -> new LinkedHashMap<>());
+        ClaimedKey claimed = ofService.get(claim.key());
+        if (claimed != null && claim.readOffset() < claimed.claimOffset) {
             return false;
         }
-        if (held != null) {
-            // Failure: a reader that started after the log dropped an expired claim finds its key free and runs it
-            // anew, while readers that still remember the old claim go on giving the old answer. A claimant that had
-            // read past the old claim would not have claimed unless it had expired, so all readers let it go here.
-            remove(ofService, claim.key(), held);
+        if (claimed != null) {
+            // Failure: a reader that started after the log dropped an expired claim finds the key unclaimed and runs
+            // its call again, while readers that still have the old claim keep replaying the old answer. A claimant
+            // that had read past the old claim claims the key only if the old claim had expired, so every reader drops
+            // it here.
+            remove(ofService, claim.key(), claimed);
         }
-        ofService.put(claim.key(), new Held(claim.request(), writer, offset));
-        open.computeIfAbsent(writer, claimant -> new HashMap<>()).put(claim.key(), nowMicros);
-        keys++;
+        ofService.put(claim.key(), new ClaimedKey(claim.request(), writer, offset));
+        openClaims.computeIfAbsent(writer, claimant -> new HashMap<>()).put(claim.key(), nowMicros);
+        keyCount++;
         return true;
     }
 
-    /** Returns the key's claim, no longer open, if it was open and the writer holds it. */
-    private Optional<Held> close(Digest key, long writer) {
-        Held held = find(key);
-        if (held == null || held.claimant != writer || !held.isOpen()) {
+    /** Closes the key's claim and returns it, if it is open and belongs to the writer. */
+    private Optional<ClaimedKey> close(Digest key, long writer) {
+        ClaimedKey claimed = find(key);
+        if (claimed == null || claimed.claimant != writer || !claimed.isOpen()) {
             return Optional.empty();
         }
-        forgetOpen(key, writer);
-        return Optional.of(held);
+        removeOpen(key, writer);
+        return Optional.of(claimed);
     }
 
     private void release(Digest key, long writer) {
-        close(key, writer).ifPresent(held -> services.values().forEach(ofService -> remove(ofService, key, held)));
+        close(key, writer)
+                .ifPresent(claimed -> services.values().forEach(ofService -> remove(ofService, key, claimed)));
     }
 
-    private void remove(Map<Digest, Held> ofService, Digest key, Held held) {
-        if (ofService.remove(key, held)) {
-            left(key, held);
+    private void remove(Map<Digest, ClaimedKey> ofService, Digest key, ClaimedKey claimed) {
+        if (ofService.remove(key, claimed)) {
+            onRemoved(key, claimed);
         }
     }
 
-    private void left(Digest key, Held held) {
-        forgetOpen(key, held.claimant);
-        dropBody(held);
-        keys--;
+    private void onRemoved(Digest key, ClaimedKey claimed) {
+        removeOpen(key, claimed.claimant);
+        dropBody(claimed);
+        keyCount--;
     }
 
-    private void started(InstanceName instance, long incarnation) {
+    private void onClaimantStarted(InstanceName instance, long incarnation) {
         Long predecessor = incarnations.remove(instance);
         incarnations.put(instance, incarnation);
-        if (incarnations.size() > MOST_INSTANCES) {
+        if (incarnations.size() > MAX_INSTANCES) {
             incarnations.remove(incarnations.keySet().iterator().next());
         }
         if (predecessor == null || predecessor == incarnation) {
             return;
         }
-        for (Digest key : new HashSet<>(open.getOrDefault(predecessor, Map.of()).keySet())) {
-            close(key, predecessor).ifPresent(held -> held.unresolved = true);
+        for (Digest key :
+                new HashSet<>(openClaims.getOrDefault(predecessor, Map.of()).keySet())) {
+            close(key, predecessor).ifPresent(claimed -> claimed.unresolved = true);
         }
     }
 
     private void expire(ServiceName service, long upToOffset) {
-        expired.merge(service, upToOffset, Math::max);
-        Iterator<Map.Entry<Digest, Held>> oldest =
+        expiredOffsets.merge(service, upToOffset, Math::max);
+        Iterator<Map.Entry<Digest, ClaimedKey>> oldest =
                 services.getOrDefault(service, new HashMap<>()).entrySet().iterator();
         while (oldest.hasNext()) {
-            Map.Entry<Digest, Held> entry = oldest.next();
-            Held held = entry.getValue();
-            if (held.claimOffset > upToOffset) {
+            Map.Entry<Digest, ClaimedKey> entry = oldest.next();
+            ClaimedKey claimed = entry.getValue();
+            if (claimed.claimOffset > upToOffset) {
                 break;
             }
             oldest.remove();
-            left(entry.getKey(), held);
+            onRemoved(entry.getKey(), claimed);
         }
-        forgetDroppedBodies();
+        pruneDroppedBodies();
     }
 
-    private void forgetDroppedBodies() {
-        while (!bodies.isEmpty() && bodies.peekFirst().answer.body().length == 0) {
-            bodies.pollFirst();
+    private void pruneDroppedBodies() {
+        while (!answersWithBody.isEmpty() && answersWithBody.peekFirst().answer.body().length == 0) {
+            answersWithBody.pollFirst();
         }
     }
 
-    private void keepAnswer(Held held, RecordedAnswer answer) {
-        held.answer = answer;
+    private void storeAnswer(ClaimedKey claimed, RecordedAnswer answer) {
+        claimed.answer = answer;
         if (answer.body().length == 0) {
             return;
         }
-        bodies.addLast(held);
+        answersWithBody.addLast(claimed);
         bodyBytes += answer.body().length;
-        while (bodyBytes > bodyBudget) {
-            dropBody(bodies.pollFirst());
+        while (bodyBytes > maxBodyBytes) {
+            dropBody(answersWithBody.pollFirst());
         }
     }
 
-    private void dropBody(Held held) {
-        if (held.answer != null && held.answer.body().length > 0) {
-            bodyBytes -= held.answer.body().length;
-            held.answer = held.answer.withoutBody();
+    private void dropBody(ClaimedKey claimed) {
+        if (claimed.answer != null && claimed.answer.body().length > 0) {
+            bodyBytes -= claimed.answer.body().length;
+            claimed.answer = claimed.answer.withoutBody();
         }
     }
 
-    private void forgetOpen(Digest key, long claimant) {
-        Map<Digest, Long> ofClaimant = open.get(claimant);
+    private void removeOpen(Digest key, long claimant) {
+        Map<Digest, Long> ofClaimant = openClaims.get(claimant);
         if (ofClaimant != null && ofClaimant.remove(key) != null && ofClaimant.isEmpty()) {
-            open.remove(claimant);
+            openClaims.remove(claimant);
         }
     }
 
-    private Held find(Digest key) {
-        for (Map<Digest, Held> ofService : services.values()) {
-            Held held = ofService.get(key);
-            if (held != null) {
-                return held;
+    private ClaimedKey find(Digest key) {
+        for (Map<Digest, ClaimedKey> ofService : services.values()) {
+            ClaimedKey claimed = ofService.get(key);
+            if (claimed != null) {
+                return claimed;
             }
         }
         return null;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyRefusals.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyRefusals.java
@@ -4,7 +4,10 @@
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.Refusal;
 
-/** The refusals of keyed calls, each with a time to come back that differs between callers. */
+/**
+ * Creates the refusals of calls with idempotency keys. Retry-after times have jitter, so that callers don't retry all
+ * at once.
+ */
 final class KeyRefusals {
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -17,19 +20,21 @@
     }
 
     KeyDecision logUnavailable(long waitMillis, String detail) {
-        return refuse(ErrorKind.LOG_UNAVAILABLE, spread(waitMillis), detail);
+        return refuse(ErrorKind.LOG_UNAVAILABLE, withJitter(waitMillis), detail);
     }
 
     KeyDecision overloaded() {
-        return refuse(ErrorKind.OVERLOADED, spread(claimWaitMillis), "too many keys wait for their claims");
+        return refuse(ErrorKind.OVERLOADED, withJitter(claimWaitMillis), "too many keys wait for their claims");
     }
 
     KeyDecision inProgress() {
         return refuse(
-                ErrorKind.KEY_IN_PROGRESS, spread(claimWaitMillis), "the call of this idempotency key is running");
+                ErrorKind.KEY_IN_PROGRESS, withJitter(claimWaitMillis), "the call of this idempotency key is running");
     }
 
-    /** Refuses a call whose key is claimed for a call that runs: the same one, or another. */
+    /**
+     * Refuses a call whose key belongs to a running call: as in progress if it is the same call, otherwise as reused.
+     */
     KeyDecision inProgressOrReused(KeyedCall known, KeyedCall call) {
         return known.equals(call) ? inProgress() : reused();
     }
@@ -46,7 +51,7 @@
         return new KeyDecision.Refuse(new Refusal(kind, retryAfterMillis, detail));
     }
 
-    private long spread(long millis) {
+    private long withJitter(long millis) {
         return millis + random.nextLong(millis + 1);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyRetention.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyRetention.java
@@ -5,18 +5,18 @@
 import java.util.OptionalLong;
 
 /**
- * Knows up to which offset a service's claims are older than a quarter more than its key retention, by this process's
- * clock alone.
+ * Tracks up to which offset a service's claims are older than 1.25 times its key retention, using only this process's
+ * clock.
  *
- * <p>It notes when it read which offset, at thirty-two places in a retention. A claim was appended before it was read,
- * so one that was read a retention ago is at least that old.
+ * <p>It records the read time of 32 offsets in each retention period. A claim was appended before it was read, so one
+ * that was read a retention ago is at least that old.
  */
 final class KeyRetention {
-    private static final int PLACES = 32;
-    private static final int GRACE_PART = 4;
+    private static final int CHECKPOINTS_PER_RETENTION = 32;
+    private static final int GRACE_DIVISOR = 4;
 
     private final long retentionMicros;
-    private final Deque<Place> places = new ArrayDeque<>();
+    private final Deque<Checkpoint> checkpoints = new ArrayDeque<>();
     private long lastOffset;
     private long expiredOffset;
 
@@ -24,41 +24,43 @@
         this.retentionMicros = retentionMicros;
     }
 
-    private record Place(long offset, long readMicros) {}
+    private record Checkpoint(long offset, long readMicros) {}
 
     long retentionMicros() {
         return retentionMicros;
     }
 
-    /** Returns how long after it was written a claim may still let its call run. */
+    /** Returns the maximum age at which a claim may still start its call. */
     long graceMicros() {
-        return retentionMicros / GRACE_PART;
+        return retentionMicros / GRACE_DIVISOR;
     }
 
-    /** Returns the time between two places: the pace at which expiry is worth an entry in the log. */
-    long spacingMicros() {
-        return Math.max(1, retentionMicros / PLACES);
+    /** Returns the time between two checkpoints, which is also the interval between expiry entries in the log. */
+    long checkpointIntervalMicros() {
+        return Math.max(1, retentionMicros / CHECKPOINTS_PER_RETENTION);
     }
 
-    void read(long offset) {
+    void onRead(long offset) {
         lastOffset = offset;
     }
 
-    /** Moves on to the present; reads of the same event must have been noted before. */
+    /** Advances to the given time; call {@link #onRead} for the reads of the same event first. */
     void advance(long nowMicros) {
-        boolean spaced = places.isEmpty() || nowMicros - places.peekLast().readMicros() >= spacingMicros();
-        long lastPlace = places.isEmpty() ? expiredOffset : places.peekLast().offset();
-        if (spaced && lastOffset > lastPlace) {
-            places.addLast(new Place(lastOffset, nowMicros));
+        boolean due =
+                checkpoints.isEmpty() || nowMicros - checkpoints.peekLast().readMicros() >= checkpointIntervalMicros();
+        long lastCheckpointOffset =
+                checkpoints.isEmpty() ? expiredOffset : checkpoints.peekLast().offset();
+        if (due && lastOffset > lastCheckpointOffset) {
+            checkpoints.addLast(new Checkpoint(lastOffset, nowMicros));
         }
         long age = retentionMicros + graceMicros();
-        while (!places.isEmpty() && nowMicros - places.peekFirst().readMicros() >= age) {
-            expiredOffset = places.pollFirst().offset();
+        while (!checkpoints.isEmpty() && nowMicros - checkpoints.peekFirst().readMicros() >= age) {
+            expiredOffset = checkpoints.pollFirst().offset();
         }
     }
 
-    /** Returns the offset up to which claims have expired, if it is above what the log says. */
-    OptionalLong expiredAbove(long saidInLog) {
-        return expiredOffset > saidInLog ? OptionalLong.of(expiredOffset) : OptionalLong.empty();
+    /** Returns the offset up to which claims have expired, if it is above the one recorded in the log. */
+    OptionalLong expiredAbove(long recordedOffset) {
+        return expiredOffset > recordedOffset ? OptionalLong.of(expiredOffset) : OptionalLong.empty();
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyState.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyState.java
@@ -2,13 +2,13 @@
 
 import org.rattanrudder.core.model.Digest;
 
-/** What the log says of a key that is claimed. */
+/** The state of a claimed key according to the log. */
 public sealed interface KeyState {
-    /** Returns the digest of the call that the key stands for. */
+    /** Returns the digest of the call that the key was used for. */
     Digest request();
 
     /**
-     * The claimant may run the call, runs it, or is gone.
+     * The key is claimed and has no outcome: its claimant may be about to run the call, be running it, or have crashed.
      *
      * @param request the digest of the call
      * @param claimant the incarnation that may run it
@@ -25,7 +25,7 @@
     record Answered(Digest request, RecordedAnswer answer) implements KeyState {}
 
     /**
-     * The call may have run and its answer will never be known.
+     * The call may have run, and its answer will never be known.
      *
      * @param request the digest of the call
      */
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/OwnKey.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/PendingKey.java
@@ -3,32 +3,32 @@
 import org.rattanrudder.core.log.LogEntry;
 import org.rattanrudder.core.model.AttemptId;
 
-/** A key that this process works on, from its claim until the log tells its end. */
-final class OwnKey {
+/** A key that this process has claimed or is claiming, until its outcome is read back from the log. */
+final class PendingKey {
     final KeyedCall call;
     final LogEntry.KeyClaim claim;
     final long claimedMicros;
     Phase phase = Phase.CLAIMING;
-    /** The one attempt that may run under the claim; null if it was given up. */
+    /** The one attempt that may run under the claim; null if it was cancelled or timed out. */
     AttemptId attempt;
 
-    long giveUpMicros;
-    /** What the log will be told; null before the end. */
-    LogEntry end;
+    long timeoutAtMicros;
+    /** The entry that records the outcome; null until there is one. */
+    LogEntry outcome;
 
-    OwnKey(KeyedCall call, long claimant, long readOffset, long nowMicros) {
+    PendingKey(KeyedCall call, long claimant, long readOffset, long nowMicros) {
         this.call = call;
         this.claim = new LogEntry.KeyClaim(call.key(), call.request(), claimant, call.service(), readOffset);
         this.claimedMicros = nowMicros;
     }
 
-    /** How far the work is. */
+    /** The state of the key at this process. */
     enum Phase {
-        /** The claim may be in the log; it hasn't been read back. */
+        /** The claim may be in the log, but hasn't been read back. */
         CLAIMING,
-        /** The claim holds and its attempt runs. */
+        /** The claim is valid and its attempt is running. */
         RUNNING,
-        /** The end is on its way to the log. */
+        /** The outcome is being written to the log. */
         ENDING
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/RecordedAnswer.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/RecordedAnswer.java
@@ -7,18 +7,19 @@
 import org.rattanrudder.core.model.Digest;
 
 /**
- * The answer of a call as repeats of its key get it.
+ * The recorded answer of a call, which is replayed to retries with the same key.
  *
  * @param status the HTTP status
- * @param headers the headers, among them {@link #SOURCE_HEADER}
- * @param body the body; empty if it was too large to be recorded, as the mark then says; shared, never written to
+ * @param headers the headers, including {@link #SOURCE_HEADER}
+ * @param body the body; empty if it was too large to record, which the source header then says; shared, must not be
+ *     modified
  */
 public record RecordedAnswer(int status, List<Header> headers, byte[] body) {
-    /** The header by which a caller tells a recorded answer from that of a run. */
+    /** The header that distinguishes a recorded answer from the answer of a run. */
     public static final String SOURCE_HEADER = "Rattanrudder-Answer";
-    /** The mark of an answer that is the recorded one, whole. */
+    /** The header's value on a recorded answer that is complete. */
     public static final String COMPLETE = "recorded";
-    /** The mark of an answer of which only the status and headers were recorded. */
+    /** The header's value on an answer of which only status and headers were recorded. */
     public static final String STATUS_ONLY = "status-only";
 
     private static final byte[] NO_BODY = {};
@@ -28,14 +29,15 @@
         headers = List.copyOf(headers);
     }
 
-    /** Returns what is recorded of an answer: a body above the bound is left out, and the mark says so. */
-    public static RecordedAnswer of(int status, List<Header> headers, byte[] body, int bodyBytesBound) {
-        boolean whole = body.length <= bodyBytesBound;
-        return new RecordedAnswer(status, marked(headers, whole ? COMPLETE : STATUS_ONLY), whole ? body : NO_BODY);
+    /** Returns the recorded form of an answer: a body above the limit is omitted, and the source header says so. */
+    public static RecordedAnswer of(int status, List<Header> headers, byte[] body, int maxBodyBytes) {
+        boolean complete = body.length <= maxBodyBytes;
+        return new RecordedAnswer(
+                status, withSource(headers, complete ? COMPLETE : STATUS_ONLY), complete ? body : NO_BODY);
     }
 
-    /** Returns whether the body is there. */
-    public boolean isWhole() {
+    /** Returns whether the body was recorded. */
+    public boolean isComplete() {
         return headers.contains(new Header(SOURCE_HEADER, COMPLETE));
     }
 
@@ -48,10 +50,10 @@
     }
 
     RecordedAnswer withoutBody() {
-        return new RecordedAnswer(status, marked(headers, STATUS_ONLY), NO_BODY);
+        return new RecordedAnswer(status, withSource(headers, STATUS_ONLY), NO_BODY);
     }
 
-    private static List<Header> marked(List<Header> headers, String mark) {
+    private static List<Header> withSource(List<Header> headers, String source) {
         List<Header> result = new ArrayList<>(headers.size() + 1);
         for (Header header : headers) {
             boolean bodyLength = header.name().equalsIgnoreCase("Content-Length");
@@ -59,7 +61,7 @@
                 result.add(header);
             }
         }
-        result.add(new Header(SOURCE_HEADER, mark));
+        result.add(new Header(SOURCE_HEADER, source));
         return result;
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/package-info.java
@@ -1,6 +1,6 @@
 /**
- * At most one run for each idempotency key, decided by the order of claims in the log.
+ * Runs the call of each idempotency key at most once, as decided by the order of claims in the log.
  *
- * <p>Front class: {@link org.rattanrudder.core.claims.KeyClaims}.
+ * <p>Main class: {@link org.rattanrudder.core.claims.KeyClaims}.
  */
 package org.rattanrudder.core.claims;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/AppendResult.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/AppendResult.java
@@ -1,17 +1,20 @@
 package org.rattanrudder.core.log;
 
-/** What the platform's log said to one append. */
+/** The result of one append to the platform's log. */
 public sealed interface AppendResult {
     /**
-     * It was appended.
+     * The batch was appended.
      *
-     * @param offset its place
+     * @param offset its offset in the stream
      */
     record Appended(long offset) implements AppendResult {}
 
-    /** It was refused before any effect: it may be appended anew. */
+    /** The append was refused before it had any effect, so it may be retried. */
     record Refused() implements AppendResult {}
 
-    /** No answer came: it may be in the log or may still get there; only reading back tells. */
+    /**
+     * No response was received: the batch may be in the log or may still arrive there. Only reading the stream shows
+     * it.
+     */
     record Unknown() implements AppendResult {}
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogEntry.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogEntry.java
@@ -7,34 +7,36 @@
 import org.rattanrudder.core.model.ServiceName;
 import org.rattanrudder.core.model.TargetName;
 
-/** One fact in a batch. */
+/** One entry of a batch. */
 public sealed interface LogEntry {
 
     /**
-     * An operator's edit of a service's document. It holds only if the base is the revision in force at its place.
+     * An operator's edit of a service's document. It is accepted only if its base is the revision in force at its
+     * offset.
      *
      * @param service the service
-     * @param baseRevision the revision that it was edited from; 0 for a new service
+     * @param baseRevision the revision that the operator edited; 0 for a new service
      * @param text the document as written
      */
     record DocumentEdit(ServiceName service, long baseRevision, String text) implements LogEntry {}
 
     /**
-     * The document in force, written again so that it outlives the log's retention. It changes nothing where the
-     * revision is known.
+     * The document in force, appended again so that it outlives the log's retention. It has no effect on readers that
+     * already have the revision.
      *
      * @param service the service
-     * @param revision the offset of the edit that it repeats
+     * @param revision the offset of the edit whose text it repeats
      * @param text the document as written
      */
     record DocumentRefresh(ServiceName service, long revision, String text) implements LogEntry {}
 
     /**
-     * The revisions of all services, so that a reader whose log begins late knows where it stands. It holds only if it
-     * directly follows the record that it names: then nothing came between what its writer had read and its own place,
-     * and it is the state at its place.
+     * The revisions of all services, from which a reader can start when the log has dropped older records. It is valid
+     * only if it directly follows the record that it names: then no record came between those that its writer had read
+     * and the index itself, so it is the exact state at its offset.
      *
-     * @param previousOffset the offset of the last record that its writer had read; it holds only one place after it
+     * @param previousOffset the offset of the last record that its writer had read; the index is valid only at the next
+     *     offset
      * @param revisions the revision in force of every service that exists
      */
     record RevisionIndex(long previousOffset, List<Revision> revisions) implements LogEntry {
@@ -53,25 +55,26 @@
     record Revision(ServiceName service, long revision) {}
 
     /**
-     * The right to run the one call of an idempotency key. The first claim of a key in the log's order holds.
+     * A claim of the right to run the call of an idempotency key. The first claim of a key in the log's order is the
+     * valid one.
      *
      * @param key the digest of service, customer and key
-     * @param request the digest of the call, to tell a repeat from another request
+     * @param request the digest of the call, to distinguish a retry from another request with the same key
      * @param claimant the incarnation of the companion that will run it
      * @param service the service
-     * @param readOffset up to where the claimant had read the stream when it found the key free: a claim at or before
-     *     that place had expired, and this one takes its place
+     * @param readOffset the offset up to which the claimant had read the stream when it found the key unclaimed: any
+     *     claim at or before that offset had expired, and this one replaces it
      */
     record KeyClaim(Digest key, Digest request, long claimant, ServiceName service, long readOffset)
             implements LogEntry {}
 
     /**
-     * The answer of a claimed call, so that repeats get it too.
+     * The answer of a claimed call, which is replayed to retries.
      *
      * @param key the digest of service, customer and key
      * @param status the HTTP status
      * @param headers the answer's headers
-     * @param body the answer's body; shared, never written to
+     * @param body the answer's body; shared, must not be modified
      */
     record KeyOutcome(Digest key, int status, List<Header> headers, byte[] body) implements LogEntry {
         /** Copies the headers. */
@@ -81,61 +84,61 @@
     }
 
     /**
-     * Gives a claim back: its call has not run and never will, so the next claim in the log's order holds the key. Only
-     * the holder may say so; the writer of the batch is the claimant.
+     * Releases a claim whose call has not run and never will, so that the next claim in the log's order is valid. Only
+     * the claimant may release it: the writer of the batch must be the claimant.
      *
      * @param key the digest of service, customer and key
      */
     record KeyRelease(Digest key) implements LogEntry {}
 
     /**
-     * The claimed call may have run and its answer will never be known, so repeats hear so at once. Only the holder may
-     * say so.
+     * Records that the claimed call may have run and that its answer will never be known, so that retries are refused
+     * at once with that state. Only the claimant may write it.
      *
      * @param key the digest of service, customer and key
      */
     record KeyUnresolved(Digest key) implements LogEntry {}
 
     /**
-     * Keys of a service whose last claim stands at or before an offset are no longer honoured. The writer has read that
-     * offset at least the service's key retention ago, by its own clock: no time in a record is trusted, and all
-     * readers forget a key at the same place of the log.
+     * Expires the keys of a service whose last claim is at or before an offset. The writer read that offset at least
+     * the service's key retention ago, by its own clock. No timestamp in a record is trusted, and all readers expire a
+     * key at the same offset of the log.
      *
      * @param service the service
-     * @param upToOffset the last offset in the stream of claims whose keys expire
+     * @param upToOffset the last offset in the claims stream whose keys expire
      */
     record KeysExpired(ServiceName service, long upToOffset) implements LogEntry {}
 
     /**
-     * A companion started under this name: an earlier incarnation of the same name is gone. The writer of the batch is
-     * the new incarnation.
+     * Records that a companion of this name started, so that any earlier incarnation of the name no longer runs. The
+     * writer of the batch is the new incarnation.
      *
      * @param instance the companion's name
      */
     record ClaimantStarted(InstanceName instance) implements LogEntry {}
 
     /**
-     * A claim to give a target orders; its place in the log is the fencing number.
+     * A lease that allows its holder to send orders to a target. Its offset in the log is the fencing number.
      *
      * @param service the service
      * @param target the target
      * @param holder the incarnation of the companion
-     * @param termMillis how long it holds
+     * @param termMillis the term of the lease
      */
     record OrderLease(ServiceName service, TargetName target, long holder, long termMillis) implements LogEntry {}
 
     /**
-     * A claim to one of the service's two weight loads.
+     * A claim of one of the two weight loads that a service allows at once.
      *
      * @param service the service
-     * @param target the target that will load
+     * @param target the target that will load weights
      * @param holder the incarnation of the companion
-     * @param termMillis how long it holds at the most
+     * @param termMillis the maximum term of the claim
      */
     record LoadClaim(ServiceName service, TargetName target, long holder, long termMillis) implements LogEntry {}
 
     /**
-     * Gives back a claim to load weights.
+     * Releases a claim to load weights.
      *
      * @param service the service
      * @param target the target
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogStream.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogStream.java
@@ -1,12 +1,12 @@
 package org.rattanrudder.core.log;
 
-/** The streams that the system keeps in the platform's log. */
+/** The streams of the platform's log that the system uses. */
 public enum LogStream {
     /** Service documents and their refreshes. */
     CONFIGURATION("configuration"),
     /** Claims of idempotency keys and their outcomes. */
     CLAIMS("claims"),
-    /** Leases of targets and claims to load weights. */
+    /** Leases of targets and claims of weight loads. */
     ORDERS("orders");
 
     private final String wireName;
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriter.java
@@ -8,29 +8,33 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Writes one process's entries to one stream of the log: in batches, in order, one append at a time, each with the
- * effect of exactly one append however often its answer is lost.
+ * Appends one process's entries to one stream of the log: in batches, in order, with one append in flight, and with
+ * exactly-once effect even if responses are lost.
  *
- * <p>An entry's fate is learnt by reading it back; a writer only says whether it took the entry. A machine hands it
- * what concerns its stream and pumps it at the end of each event:
+ * <p>The writer only reports whether it accepted an entry; only reading the stream shows whether the entry is in the
+ * log. A state machine passes the events of its stream to the writer and calls {@link #sendDue} at the end of each
+ * event:
  *
  * <pre>{@code
  * if (writer.offer(entry, now) != LogWriter.Offer.QUEUED) { refuse(); }
  * writer.pump(now, (stream, batch) -> effects.accept(new CompanionEffect.Append(stream, batch)));
  * }</pre>
  *
- * <p>The reader must report each poll of the log that reached its end, also one without records: a lost batch is looked
- * for in what was read, and appended again only after a read to the end without it.
+ * <p>The reader must report each poll that reached the end of the log, including polls without records: a batch whose
+ * append has an unknown result is retried only after a read to the end that didn't contain it.
  */
 public final class LogWriter {
     private static final long NEVER = Long.MIN_VALUE;
-    private static final int LARGEST_DOUBLING = 20;
-    /** How many batches may go at once after a pause: the interval bounds the rate, not the first answer. */
-    private static final int BURST = 3;
+    private static final int MAX_BACKOFF_DOUBLINGS = 20;
+    /**
+     * The number of batches that may be sent without spacing after a pause, so that the send interval limits the rate
+     * without delaying the first batch.
+     */
+    private static final int MAX_BURST_BATCHES = 3;
 
-    private static final int PACE_RECOVERY = 32;
-    /** So many refusals in a row are an outage, not a log that is asked too often. */
-    private static final int OUTAGE_REFUSALS = 5;
+    private static final int INTERVAL_RECOVERY_DIVISOR = 32;
+    /** The number of consecutive failures that is taken for an outage of the log rather than for rate limiting. */
+    private static final int MIN_OUTAGE_FAILURES = 5;
 
     private final LogStream stream;
     private final long writer;
@@ -42,22 +46,22 @@
     private List<LogEntry> batch = List.of();
     private long sequence;
     private boolean copyMayBeInLog;
-    private boolean readToEndSinceLoss;
+    private boolean readToEndSinceInDoubt;
     private long sentMicros = NEVER;
-    private long paceMicros;
-    private long paidUntilMicros = NEVER;
-    private long lostMicros;
-    private long notBeforeMicros = NEVER;
+    private long sendIntervalMicros;
+    private long rateUsedUntilMicros = NEVER;
+    private long inDoubtSinceMicros;
+    private long backoffUntilMicros = NEVER;
     private long failingSinceMicros = NEVER;
-    private int failures;
-    private boolean readsFail;
+    private int consecutiveFailures;
+    private boolean readFailing;
 
     /**
-     * Creates a writer with nothing to write.
+     * Creates a writer with an empty queue.
      *
      * @param stream the stream
      * @param writer the incarnation of this process
-     * @param settings bounds and waits
+     * @param settings limits and timeouts
      * @param random draws the jitter of the backoff
      */
     public LogWriter(LogStream stream, long writer, LogWriterSettings settings, RandomGenerator random) {
@@ -65,56 +69,56 @@
         this.writer = writer;
         this.settings = settings;
         this.random = random;
-        this.paceMicros = settings.intervalMicros();
+        this.sendIntervalMicros = settings.minSendIntervalMicros();
     }
 
-    /** Asks for an append. */
+    /** Sends appends to the log. */
     @FunctionalInterface
     public interface Appender {
-        /** Appends the batch to the stream; answered later by one {@link AppendResult}. */
+        /** Appends the batch to the stream; one {@link AppendResult} follows later. */
         void append(LogStream stream, LogBatch batch);
     }
 
-    /** What became of an offered entry. */
+    /** Whether an entry was accepted. */
     public enum OfferResult {
-        /** It will be appended unless it is retracted in time. */
+        /** The entry is queued and will be appended unless it is retracted in time. */
         QUEUED,
-        /** Too much waits; it was not taken. */
+        /** The queue is full; the entry was not accepted. */
         FULL,
-        /** The log doesn't answer; it was not taken. */
+        /** The log is unavailable; the entry was not accepted. */
         UNAVAILABLE
     }
 
     private enum Phase {
-        /** Nothing is sent. */
+        /** No batch is being appended. */
         IDLE,
-        /** A batch is sent and not answered. */
+        /** A batch was sent and has no result yet. */
         IN_FLIGHT,
-        /** A copy of the batch may be in the log or on its way there. */
+        /** The result is unknown: a copy of the batch may be in the log or may still arrive there. */
         IN_DOUBT
     }
 
-    /** Takes an entry that begins new work, unless the log is down or half of the room is taken. */
+    /** Queues an entry that starts new work, unless the log is unavailable or the queue is half full. */
     public OfferResult offer(LogEntry entry, long nowMicros) {
         if (!isAvailable(nowMicros)) {
             return OfferResult.UNAVAILABLE;
         }
-        return enqueue(entry, settings.capacity() / 2);
+        return enqueue(entry, settings.maxPendingEntries() / 2);
     }
 
     /**
-     * Takes an entry that tells the end of work already begun, whether or not the log answers.
+     * Queues an entry that records the end of work already started, whether or not the log is available.
      *
      * @return never {@link OfferResult#UNAVAILABLE}
      */
     public OfferResult record(LogEntry entry) {
-        return enqueue(entry, settings.capacity());
+        return enqueue(entry, settings.maxPendingEntries());
     }
 
     /**
-     * Takes back an entry, the same object, if no copy of it can be in the log or reach it.
+     * Removes an entry (compared by identity) if no copy of it can be in the log or still arrive there.
      *
-     * @return whether it will never be in the log; if false it may be there, now or later
+     * @return true if the entry will never be in the log; false if it may be there, now or later
      */
     public boolean retract(LogEntry entry) {
         for (Iterator<LogEntry> waiting = queue.iterator(); waiting.hasNext(); ) {
@@ -126,25 +130,26 @@
         return false;
     }
 
-    /** Takes the answer to an append. An answer to a batch that was read back meanwhile changes nothing. */
+    /** Handles the result of an append. It is ignored if the batch has been read back in the meantime. */
     public void onAppendResult(long answeredSequence, AppendResult result, long nowMicros) {
         if (phase != Phase.IN_FLIGHT || answeredSequence != sequence) {
             return;
         }
         if (result instanceof AppendResult.Appended) {
-            finishBatch();
+            onBatchInLog();
             return;
         }
         if (result instanceof AppendResult.Unknown) {
             copyMayBeInLog = true;
-            readToEndSinceLoss = false;
-            lostMicros = nowMicros;
+            readToEndSinceInDoubt = false;
+            inDoubtSinceMicros = nowMicros;
         }
         backOff(nowMicros);
         if (copyMayBeInLog) {
-            // Failure: the answer is lost after the append took effect, or the append is still on its way. It shows as
-            // an entry that takes effect twice, or after a later one. The batch keeps its sequence and no later one is
-            // sent until a copy was seen in the log, so readers drop every further copy by (writer, sequence).
+            // Failure: the response is lost after the append took effect, or the append is still in flight. A retry as
+            // a new batch would make an entry take effect twice or after a later one. The batch therefore keeps its
+            // sequence, and no later one is sent until a copy was read in the log, so readers drop every further copy
+            // by (writer, sequence).
             phase = Phase.IN_DOUBT;
             return;
         }
@@ -157,41 +162,43 @@
     }
 
     /**
-     * Takes records read from the stream.
+     * Handles records read from the stream.
      *
      * @param records the records, in order
      * @param caughtUp whether the read reached the log's end
      */
     public void onRecords(List<LogRecord> records, boolean caughtUp) {
-        readsFail = false;
+        readFailing = false;
         for (LogRecord record : records) {
             LogBatch found = record.batch();
             if (phase != Phase.IDLE && found.writer() == writer && found.sequence() == sequence) {
-                finishBatch();
+                onBatchInLog();
             }
         }
-        readToEndSinceLoss |= caughtUp && phase == Phase.IN_DOUBT;
+        readToEndSinceInDoubt |= caughtUp && phase == Phase.IN_DOUBT;
     }
 
-    /** Notes that the stream couldn't be read: nothing could be read back now. */
+    /** Records that the stream couldn't be read, so that batches can't be read back. */
     public void onReadFailed() {
-        readsFail = true;
+        readFailing = true;
     }
 
-    /** Sends what is due. */
+    /** Sends the next batch, or retries the current one, if that is due. */
     public void sendDue(long nowMicros, Appender appender) {
-        if (phase == Phase.IN_FLIGHT || nowMicros < notBeforeMicros) {
+        if (phase == Phase.IN_FLIGHT || nowMicros < backoffUntilMicros) {
             return;
         }
         if (phase == Phase.IN_DOUBT) {
-            if (readToEndSinceLoss && nowMicros - lostMicros >= settings.readBackMicros()) {
+            if (readToEndSinceInDoubt && nowMicros - inDoubtSinceMicros >= settings.readBackTimeoutMicros()) {
                 send(nowMicros, appender);
             }
             return;
         }
-        boolean inPace = paidUntilMicros == NEVER || paidUntilMicros - nowMicros <= (BURST - 1) * paceMicros;
-        boolean full = queue.size() >= settings.batchEntries() && paceMicros == settings.intervalMicros();
-        if (queue.isEmpty() || !(inPace || full)) {
+        boolean withinRate = rateUsedUntilMicros == NEVER
+                || rateUsedUntilMicros - nowMicros <= (MAX_BURST_BATCHES - 1) * sendIntervalMicros;
+        boolean full =
+                queue.size() >= settings.maxBatchEntries() && sendIntervalMicros == settings.minSendIntervalMicros();
+        if (queue.isEmpty() || !(withinRate || full)) {
             return;
         }
         batch = takeBatch();
@@ -199,36 +206,37 @@
         send(nowMicros, appender);
     }
 
-    /** Returns whether new work may count on the log: it answers, or may be tried again. */
+    /** Returns whether new work may be accepted: the log responds, or may be tried again. */
     public boolean isAvailable(long nowMicros) {
-        if (readsFail) {
+        if (readFailing) {
             return false;
         }
-        long patience = settings.patienceMicros();
-        if (phase == Phase.IN_FLIGHT && nowMicros - sentMicros >= patience) {
+        long timeout = settings.unavailableTimeoutMicros();
+        if (phase == Phase.IN_FLIGHT && nowMicros - sentMicros >= timeout) {
             return false;
         }
-        if (failingSinceMicros == NEVER || nowMicros - failingSinceMicros < patience) {
+        if (failingSinceMicros == NEVER || nowMicros - failingSinceMicros < timeout) {
             return true;
         }
-        // Appends have failed for a while. One entry may try the log again once the backoff is over, so that an outage
-        // ends with the first success and not with a restart.
-        return phase == Phase.IDLE && queue.isEmpty() && nowMicros >= notBeforeMicros;
+        // Appends have been failing for longer than the timeout. Once the backoff has passed, a single entry may probe
+        // the log, so that the writer recovers from an outage on the first success without a restart.
+        return phase == Phase.IDLE && queue.isEmpty() && nowMicros >= backoffUntilMicros;
     }
 
-    /** Returns in how many milliseconds a refused caller should come back, before any jitter. */
+    /** Returns after how many milliseconds a refused caller should retry, before jitter. */
     public long retryAfterMillis(long nowMicros) {
-        long wait = Math.max(settings.patienceMicros(), notBeforeMicros == NEVER ? 0 : notBeforeMicros - nowMicros);
+        long wait = Math.max(
+                settings.unavailableTimeoutMicros(), backoffUntilMicros == NEVER ? 0 : backoffUntilMicros - nowMicros);
         return (wait + 999) / 1000;
     }
 
-    /** Returns how many entries wait or are not yet known to be in the log. */
+    /** Returns the number of entries that are queued or not yet known to be in the log. */
     public int pendingEntries() {
         return queue.size() + batch.size();
     }
 
-    private OfferResult enqueue(LogEntry entry, int room) {
-        if (pendingEntries() >= room) {
+    private OfferResult enqueue(LogEntry entry, int maxEntries) {
+        if (pendingEntries() >= maxEntries) {
             return OfferResult.FULL;
         }
         queue.addLast(entry);
@@ -238,9 +246,9 @@
     private List<LogEntry> takeBatch() {
         List<LogEntry> taken = new ArrayList<>();
         int bytes = 0;
-        while (!queue.isEmpty() && taken.size() < settings.batchEntries()) {
+        while (!queue.isEmpty() && taken.size() < settings.maxBatchEntries()) {
             bytes += EntrySize.of(queue.peekFirst());
-            if (!taken.isEmpty() && bytes > settings.batchBytes()) {
+            if (!taken.isEmpty() && bytes > settings.maxBatchBytes()) {
                 break;
             }
             taken.add(queue.pollFirst());
@@ -251,36 +259,39 @@
     private void send(long nowMicros, Appender appender) {
         phase = Phase.IN_FLIGHT;
         sentMicros = nowMicros;
-        paidUntilMicros = Math.max(paidUntilMicros, nowMicros) + paceMicros;
+        rateUsedUntilMicros = Math.max(rateUsedUntilMicros, nowMicros) + sendIntervalMicros;
         appender.append(stream, new LogBatch(writer, sequence, batch));
     }
 
-    private void finishBatch() {
+    private void onBatchInLog() {
         phase = Phase.IDLE;
         batch = List.of();
         copyMayBeInLog = false;
-        long faster = failures >= OUTAGE_REFUSALS ? 0 : paceMicros - paceMicros / PACE_RECOVERY;
-        paceMicros = Math.max(settings.intervalMicros(), faster);
-        failures = 0;
+        long decreased = consecutiveFailures >= MIN_OUTAGE_FAILURES
+                ? 0
+                : sendIntervalMicros - sendIntervalMicros / INTERVAL_RECOVERY_DIVISOR;
+        sendIntervalMicros = Math.max(settings.minSendIntervalMicros(), decreased);
+        consecutiveFailures = 0;
         failingSinceMicros = NEVER;
-        notBeforeMicros = NEVER;
+        backoffUntilMicros = NEVER;
     }
 
     private void backOff(long nowMicros) {
         if (failingSinceMicros == NEVER) {
             failingSinceMicros = nowMicros;
         }
-        long doubled = settings.firstBackoffMicros() << Math.min(failures, LARGEST_DOUBLING);
-        long wait = Math.min(doubled, settings.longestBackoffMicros());
-        failures++;
-        // Failure: more writers than the log has appends for, each at its interval, are refused most of the time, and
-        // claims wait for seconds in backoff. It shows as refusals that rise with the writers. Each refusal
-        // lowers this writer's rate by a third and each success raises it a little, so that the writers share what the
-        // log takes. The pace stays under the patience, or claims would be given up before they are sent.
-        long slower = Math.max(paceMicros + paceMicros / 2, settings.firstBackoffMicros());
-        paceMicros = Math.max(paceMicros, Math.min(slower, settings.patienceMicros() / 2));
-        // Failure: many writers, refused together at the end of an outage, come back together and are refused again.
-        // Each draws its wait anew between half and the whole, so they spread.
-        notBeforeMicros = nowMicros + wait / 2 + random.nextLong(wait / 2 + 1);
+        long doubled = settings.initialBackoffMicros() << Math.min(consecutiveFailures, MAX_BACKOFF_DOUBLINGS);
+        long wait = Math.min(doubled, settings.maxBackoffMicros());
+        consecutiveFailures++;
+        // Failure: with more writers than the log's rate limit allows for, each sending at its minimum interval, most
+        // appends are refused and claims wait for seconds in backoff; refusals rise with the number of writers. Each
+        // refusal increases this writer's send interval by half and each success decreases it a little, so that the
+        // writers share the log's capacity. The interval stays below the timeout, or claims would time out before they
+        // are sent.
+        long increased = Math.max(sendIntervalMicros + sendIntervalMicros / 2, settings.initialBackoffMicros());
+        sendIntervalMicros = Math.max(sendIntervalMicros, Math.min(increased, settings.unavailableTimeoutMicros() / 2));
+        // Failure: many writers that were refused at the same time, at the end of an outage, retry at the same time and
+        // are refused again. Each draws a random wait between half and the whole backoff, which spreads the retries.
+        backoffUntilMicros = nowMicros + wait / 2 + random.nextLong(wait / 2 + 1);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriterSettings.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/LogWriterSettings.java
@@ -1,53 +1,55 @@
 package org.rattanrudder.core.log;
 
 /**
- * How a {@link LogWriter} gathers, retries and gives up.
+ * Batching, retry and timeout settings of a {@link LogWriter}.
  *
- * @param intervalMicros the least time between the sending of two batches, in microseconds
- * @param batchEntries the most entries in one batch
- * @param batchBytes the most bytes in one batch, by estimate; a larger single entry goes alone
- * @param capacity the most entries that wait; new work may fill half of it
- * @param readBackMicros how long a batch whose answer was lost is looked for before it is appended again
- * @param patienceMicros how long appends may fail or stay unanswered before new work is refused at once
- * @param firstBackoffMicros the wait after the first refusal; doubles with each further one
- * @param longestBackoffMicros the longest wait after a refusal
+ * @param minSendIntervalMicros the minimum average time between two batches, in microseconds
+ * @param maxBatchEntries the maximum number of entries in one batch
+ * @param maxBatchBytes the maximum estimated size of a batch; a larger single entry is sent alone
+ * @param maxPendingEntries the maximum number of entries that are queued or in flight; new work may fill half of it
+ * @param readBackTimeoutMicros how long a batch whose append has an unknown result is waited for in the stream before
+ *     it is retried
+ * @param unavailableTimeoutMicros how long appends may fail or get no response before new work is refused at once
+ * @param initialBackoffMicros the backoff after the first failure; it doubles with each further one
+ * @param maxBackoffMicros the maximum backoff after a failure
  */
 public record LogWriterSettings(
-        long intervalMicros,
-        int batchEntries,
-        int batchBytes,
-        int capacity,
-        long readBackMicros,
-        long patienceMicros,
-        long firstBackoffMicros,
-        long longestBackoffMicros) {
-    /** Settings for a stream whose entries are waited for. */
+        long minSendIntervalMicros,
+        int maxBatchEntries,
+        int maxBatchBytes,
+        int maxPendingEntries,
+        long readBackTimeoutMicros,
+        long unavailableTimeoutMicros,
+        long initialBackoffMicros,
+        long maxBackoffMicros) {
+    /** Settings for a stream whose entries callers wait for. */
     public static final LogWriterSettings DEFAULT =
             new LogWriterSettings(10_000, 256, 256 * 1024, 4096, 200_000, 500_000, 20_000, 2_000_000);
 
-    /** Refuses bounds that aren't positive with an {@link IllegalArgumentException}. */
+    /** Throws an {@link IllegalArgumentException} if a limit or timeout is out of range. */
     public LogWriterSettings {
-        if (intervalMicros < 0 || batchEntries < 1 || batchBytes < 1 || capacity < 2) {
-            throw new IllegalArgumentException("a batch needs an interval of 0 or more and bounds above 0");
+        if (minSendIntervalMicros < 0 || maxBatchEntries < 1 || maxBatchBytes < 1 || maxPendingEntries < 2) {
+            throw new IllegalArgumentException(
+                    "the send interval must not be negative and the batch and queue limits must be positive");
         }
-        if (readBackMicros < 1 || patienceMicros < 1 || firstBackoffMicros < 1) {
-            throw new IllegalArgumentException("waits must be above 0");
+        if (readBackTimeoutMicros < 1 || unavailableTimeoutMicros < 1 || initialBackoffMicros < 1) {
+            throw new IllegalArgumentException("timeouts must be positive");
         }
-        if (longestBackoffMicros < firstBackoffMicros) {
-            throw new IllegalArgumentException("the longest backoff is shorter than the first");
+        if (maxBackoffMicros < initialBackoffMicros) {
+            throw new IllegalArgumentException("the maximum backoff is shorter than the initial one");
         }
     }
 
-    /** Returns the same settings with another interval. */
-    public LogWriterSettings withIntervalMicros(long micros) {
+    /** Returns the same settings with another minimum send interval. */
+    public LogWriterSettings withMinSendIntervalMicros(long micros) {
         return new LogWriterSettings(
                 micros,
-                batchEntries,
-                batchBytes,
-                capacity,
-                readBackMicros,
-                patienceMicros,
-                firstBackoffMicros,
-                longestBackoffMicros);
+                maxBatchEntries,
+                maxBatchBytes,
+                maxPendingEntries,
+                readBackTimeoutMicros,
+                unavailableTimeoutMicros,
+                initialBackoffMicros,
+                maxBackoffMicros);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/log/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/log/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What the system keeps in the platform's append-only log, and how a process writes and reads it.
+ * The entries of the platform's append-only log, and how a process writes and reads them.
  *
- * <p>Front class: {@link org.rattanrudder.core.log.LogWriter}; what it writes is a
- * {@link org.rattanrudder.core.log.LogEntry}.
+ * <p>Main class: {@link org.rattanrudder.core.log.LogWriter}; it writes entries of type {@link
+ * org.rattanrudder.core.log.LogEntry}.
  */
 package org.rattanrudder.core.log;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/ClaimWorld.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/ClaimSimulation.java
@@ -16,20 +16,20 @@
 import org.rattanrudder.core.model.Digest;
 import org.rattanrudder.core.model.ServiceName;
 
-/** Three companions on one unreliable log, and a record of everything that ran or was answered. */
-final class ClaimWorld {
+/** Simulates three companions on one faulty log, and records all runs and decisions. */
+final class ClaimSimulation {
     static final ServiceName SERVICE = new ServiceName("fuel-ledger");
-    static final long SECOND = 1_000_000;
-    static final long KEY_RETENTION_MICROS = 20 * SECOND;
-    static final long LOG_RETENTION_MICROS = 60 * SECOND;
-    static final ClaimSettings CLAIMS =
-            new ClaimSettings(SECOND, 5 * SECOND, 64, 1_000_000, 64, LOG_RETENTION_MICROS + 10 * SECOND);
+    static final long MICROS_PER_SECOND = 1_000_000;
+    static final long KEY_RETENTION_MICROS = 20 * MICROS_PER_SECOND;
+    static final long LOG_RETENTION_MICROS = 60 * MICROS_PER_SECOND;
+    static final ClaimSettings SETTINGS = new ClaimSettings(
+            MICROS_PER_SECOND, 5 * MICROS_PER_SECOND, 64, 1_000_000, 64, LOG_RETENTION_MICROS + 10 * MICROS_PER_SECOND);
 
-    final SharedLog log = new SharedLog(LOG_RETENTION_MICROS);
+    final FaultyLog log = new FaultyLog(LOG_RETENTION_MICROS);
     final List<SimulatedCompanion> companions = new ArrayList<>();
     final Map<AttemptId, KeyDecision> decisions = new HashMap<>();
     final Map<Digest, List<Run>> runs = new HashMap<>();
-    long now = SECOND;
+    long nowMicros = MICROS_PER_SECOND;
     boolean anyLost;
 
     private final Random random;
@@ -38,7 +38,7 @@
     private long incarnations = 100;
     private int attempts;
 
-    ClaimWorld(long seed) {
+    ClaimSimulation(long seed) {
         random = new Random(seed);
         for (int number = 0; number < 3; number++) {
             companions.add(start("companion-" + number));
@@ -46,7 +46,7 @@
         settle();
     }
 
-    /** One run of a key's call, and the answer that it gave. */
+    /** One run of a key's call and its answer. */
     record Run(AttemptId attempt, long atMicros, String answer) {}
 
     static KeyedCall call(int key, int request) {
@@ -54,21 +54,21 @@
     }
 
     SimulatedCompanion start(String name) {
-        return new SimulatedCompanion(name, ++incarnations, log, new Random(incarnations), this::decided);
+        return new SimulatedCompanion(name, ++incarnations, log, new Random(incarnations), this::onDecision);
     }
 
-    /** Asks a companion to run a call; its decision is in {@link #decisions}, at once or later. */
+    /** Sends a call to a companion; the decision appears in {@link #decisions}, at once or later. */
     AttemptId ask(SimulatedCompanion companion, KeyedCall call) {
         AttemptId attempt = new AttemptId(1, ++attempts, 1);
         calls.put(attempt, call);
-        KeyDecision decision = companion.claims.admit(attempt, call, now, now + 10 * SECOND);
+        KeyDecision decision = companion.claims.admit(attempt, call, nowMicros, nowMicros + 10 * MICROS_PER_SECOND);
         if (!(decision instanceof KeyDecision.Hold)) {
-            decided(attempt, decision);
+            onDecision(attempt, decision);
         }
         if (decision instanceof KeyDecision.Replay replay) {
             checkReplay(companion, call, replay.answer());
         }
-        companion.pump(now);
+        companion.sendDue(nowMicros);
         return attempt;
     }
 
@@ -77,7 +77,7 @@
         companions.set(number, start(companions.get(number).name));
     }
 
-    /** Ends the oldest run of a companion: answered, never reached the target, or unknown. */
+    /** Ends the oldest run of a companion as answered, not run or unknown. */
     void end(SimulatedCompanion companion, String how) {
         AttemptId attempt = companion.running.remove(0);
         List<Run> ofKey = runs.get(calls.get(attempt).key());
@@ -93,24 +93,24 @@
             }
             default -> companion.claims.recordUnresolved(attempt);
         }
-        companion.pump(now);
+        companion.sendDue(nowMicros);
     }
 
-    /** Lets one thing happen that the seed chooses. */
+    /** Performs one random step. */
     void step() {
-        now += random.nextInt(25) == 0 ? random.nextInt(30) * SECOND : random.nextInt(60_000);
+        nowMicros += random.nextInt(25) == 0 ? random.nextInt(30) * MICROS_PER_SECOND : random.nextInt(60_000);
         int number = random.nextInt(companions.size());
         SimulatedCompanion companion = companions.get(number);
         int choice = random.nextInt(100);
         if (choice < 6) {
-            companion.frozen = !companion.frozen;
+            companion.paused = !companion.paused;
         } else if (choice < 8) {
             crash(number);
         } else if (choice < 10) {
             log.down = !log.down;
         } else if (choice < 35) {
-            landOne();
-        } else if (!companion.frozen) {
+            deliverOne();
+        } else if (!companion.paused) {
             act(companion, choice);
         }
     }
@@ -120,60 +120,61 @@
             ask(companion, call(random.nextInt(3), random.nextInt(10) == 0 ? 1 : 0));
         } else if (choice < 60 && !companion.running.isEmpty()) {
             end(companion, List.of("answered", "answered", "not run", "unknown").get(random.nextInt(4)));
-        } else if (choice < 72 && !companion.unanswered.isEmpty()) {
-            answerOne(companion);
+        } else if (choice < 72 && !companion.unansweredAppends.isEmpty()) {
+            completeOneAppend(companion);
         } else if (choice < 88) {
-            companion.read(1 + random.nextInt(3), now);
+            companion.read(1 + random.nextInt(3), nowMicros);
         } else {
-            companion.tick(now);
+            companion.tick(nowMicros);
         }
     }
 
-    private void landOne() {
-        if (log.onTheWay() > 0 && !log.down) {
-            log.land(random.nextInt(log.onTheWay()), now);
+    private void deliverOne() {
+        if (log.inFlight() > 0 && !log.down) {
+            log.deliver(random.nextInt(log.inFlight()), nowMicros);
         }
     }
 
-    private void answerOne(SimulatedCompanion companion) {
-        LogBatch batch = companion.unanswered.peek();
-        boolean out = log.isOnTheWay(batch);
-        if (out && random.nextInt(3) == 0) {
+    private void completeOneAppend(SimulatedCompanion companion) {
+        LogBatch batch = companion.unansweredAppends.peek();
+        boolean inFlight = log.isInFlight(batch);
+        if (inFlight && random.nextInt(3) == 0) {
             log.refuse(batch);
-            companion.answer(new AppendResult.Refused(), now);
-        } else if (!log.hasLanded(batch) || random.nextInt(3) == 0) {
-            companion.answer(new AppendResult.Unknown(), now);
+            companion.completeOldestAppend(new AppendResult.Refused(), nowMicros);
+        } else if (!log.contains(batch) || random.nextInt(3) == 0) {
+            companion.completeOldestAppend(new AppendResult.Unknown(), nowMicros);
         } else {
-            companion.answer(new AppendResult.Appended(1), now);
+            companion.completeOldestAppend(new AppendResult.Appended(1), nowMicros);
         }
     }
 
-    /** Ends all faults, lets everything arrive, and lets every run end with an answer. */
+    /** Ends all faults, delivers all appends and ends every run with an answer. */
     void settle() {
         log.down = false;
         for (SimulatedCompanion companion : companions) {
-            companion.frozen = false;
+            companion.paused = false;
         }
         for (int round = 0; round < 40; round++) {
-            now += 100_000;
-            while (log.onTheWay() > 0) {
-                log.land(0, now);
+            nowMicros += 100_000;
+            while (log.inFlight() > 0) {
+                log.deliver(0, nowMicros);
             }
             for (SimulatedCompanion companion : companions) {
-                while (!companion.unanswered.isEmpty()) {
-                    boolean landed = log.hasLanded(companion.unanswered.peek());
-                    companion.answer(landed ? new AppendResult.Appended(1) : new AppendResult.Unknown(), now);
+                while (!companion.unansweredAppends.isEmpty()) {
+                    boolean delivered = log.contains(companion.unansweredAppends.peek());
+                    companion.completeOldestAppend(
+                            delivered ? new AppendResult.Appended(1) : new AppendResult.Unknown(), nowMicros);
                 }
-                companion.read(1_000, now);
+                companion.read(1_000, nowMicros);
                 while (!companion.running.isEmpty()) {
                     end(companion, "answered");
                 }
-                companion.tick(now);
+                companion.tick(nowMicros);
             }
         }
     }
 
-    private void decided(AttemptId attempt, KeyDecision decision) {
+    private void onDecision(AttemptId attempt, KeyDecision decision) {
         assertThat(decisions.put(attempt, decision))
                 .as("a second decision on one attempt")
                 .isNull();
@@ -189,11 +190,11 @@
         List<Run> ofKey = runs.computeIfAbsent(call.key(), key -> new ArrayList<>());
         assertThat(ran.add(attempt)).isTrue();
         if (!ofKey.isEmpty()) {
-            assertThat(now - ofKey.get(ofKey.size() - 1).atMicros())
+            assertThat(nowMicros - ofKey.get(ofKey.size() - 1).atMicros())
                     .as("time since the key's last run")
                     .isGreaterThanOrEqualTo(KEY_RETENTION_MICROS);
         }
-        ofKey.add(new Run(attempt, now, "answer of " + attempt));
+        ofKey.add(new Run(attempt, nowMicros, "answer of " + attempt));
     }
 
     private void checkReplay(SimulatedCompanion companion, KeyedCall call, RecordedAnswer answer) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsPropertyTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsPropertyTest.java
@@ -11,44 +11,45 @@
     private static final int STEPS = 400;
 
     /**
-     * A driver is charged twice, or told "not run" for fuel that is charged later: companions crash, freeze and
-     * restart, appends are refused, delayed, doubled and lost, the log is down, records and keys expire. The world
-     * fails as soon as a key runs again within its retention, an attempt gets two decisions, or a repeat another
-     * answer.
+     * Failure: a call runs twice, or runs after it was answered "not run". Companions crash, pause and restart, appends
+     * are refused, delayed, duplicated and lost, the log goes down, records and keys expire. The simulation fails if a
+     * key runs again within its retention, an attempt gets two decisions, or a retry gets another answer.
      */
     @Property(seed = "31", tries = 600)
-    void noKeyRunsTwiceAndRepeatsGetTheSameAnswer(@ForAll long seed) {
-        ClaimWorld world = new ClaimWorld(seed);
+    void noKeyRunsTwiceAndRetriesGetTheSameAnswer(@ForAll long seed) {
+        ClaimSimulation simulation = new ClaimSimulation(seed);
         for (int step = 0; step < STEPS; step++) {
-            world.step();
+            simulation.step();
         }
-        world.settle();
+        simulation.settle();
 
-        checkSettled(world);
-        checkDecisions(world);
-        world.now += ClaimWorld.CLAIMS.logRetentionMicros();
-        world.settle();
-        checkDecisions(world);
-        assertThat(world.companions).allMatch(companion -> companion.claims.isDrained());
+        assertDrained(simulation);
+        assertFinalDecisions(simulation);
+        simulation.nowMicros += ClaimSimulation.SETTINGS.logRetentionMicros();
+        simulation.settle();
+        assertFinalDecisions(simulation);
+        assertThat(simulation.companions).allMatch(companion -> companion.claims.isDrained());
     }
 
-    /** Once all is well, each companion has a final answer for each key, and no key stays blocked. */
-    private static void checkDecisions(ClaimWorld world) {
-        for (SimulatedCompanion companion : world.companions) {
+    /** Without faults, each companion has a final decision for each key, and no key stays blocked. */
+    private static void assertFinalDecisions(ClaimSimulation simulation) {
+        for (SimulatedCompanion companion : simulation.companions) {
             for (int key = 0; key < 3; key++) {
-                AttemptId attempt = world.ask(companion, ClaimWorld.call(key, 0));
-                world.settle();
-                assertThat(isFinal(world.decisions.get(attempt)) || companion.skipped)
-                        .as("%s", world.decisions.get(attempt))
+                AttemptId attempt = simulation.ask(companion, ClaimSimulation.call(key, 0));
+                simulation.settle();
+                assertThat(isFinal(simulation.decisions.get(attempt)) || companion.missedRecords)
+                        .as("%s", simulation.decisions.get(attempt))
                         .isTrue();
             }
         }
     }
 
-    /** The log tells the end of every run and claim, but for companions that missed records in a long freeze. */
-    private static void checkSettled(ClaimWorld world) {
-        for (SimulatedCompanion companion : world.companions) {
-            assertThat(companion.skipped || companion.claims.isDrained()).isTrue();
+    /**
+     * The log has the outcome of every run and claim, except at companions that missed records during a long pause.
+     */
+    private static void assertDrained(ClaimSimulation simulation) {
+        for (SimulatedCompanion companion : simulation.companions) {
+            assertThat(companion.missedRecords || companion.claims.isDrained()).isTrue();
         }
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyClaimsTest.java
@@ -12,261 +12,264 @@
 import org.rattanrudder.core.model.ErrorKind;
 
 class KeyClaimsTest {
-    private static final KeyedCall CALL = ClaimWorld.call(0, 0);
+    private static final KeyedCall CALL = ClaimSimulation.call(0, 0);
 
-    private final ClaimWorld world = new ClaimWorld(1);
-    private final SimulatedCompanion first = world.companions.get(0);
-    private final SimulatedCompanion second = world.companions.get(1);
+    private final ClaimSimulation simulation = new ClaimSimulation(1);
+    private final SimulatedCompanion first = simulation.companions.get(0);
+    private final SimulatedCompanion second = simulation.companions.get(1);
 
     /**
-     * A driver is charged twice: the caller's retry goes through another entry to another companion while the first
-     * still runs, and both run it. Cause: each companion knows only its own keys.
+     * Failure: the call runs twice. The caller's retry reaches another companion while the first still runs, and each
+     * companion knows only its own keys.
      */
     @Test
-    void theFirstClaimInTheLogRunsAndTheOtherHearsOfItAndLaterGetsItsAnswer() {
-        AttemptId one = world.ask(first, CALL);
-        AttemptId two = world.ask(second, CALL);
-        land();
-        second.read(10, world.now);
-        assertThat(world.decisions).as("before its own claim is read back").doesNotContainKey(two);
-        land();
-        second.read(10, world.now);
-        first.read(10, world.now);
-
-        assertThat(world.decisions.get(one)).isInstanceOf(KeyDecision.Run.class);
+    void onlyTheFirstClaimInTheLogRunsAndTheSecondGetsItsAnswerLater() {
+        AttemptId one = simulation.ask(first, CALL);
+        AttemptId two = simulation.ask(second, CALL);
+        deliver();
+        second.read(10, simulation.nowMicros);
+        assertThat(simulation.decisions).as("before its own claim is read back").doesNotContainKey(two);
+        deliver();
+        second.read(10, simulation.nowMicros);
+        first.read(10, simulation.nowMicros);
+
+        assertThat(simulation.decisions.get(one)).isInstanceOf(KeyDecision.Run.class);
         assertThat(kind(two)).isEqualTo(ErrorKind.KEY_IN_PROGRESS);
-        world.settle();
-        assertThat(world.decisions.get(world.ask(second, CALL))).isInstanceOf(KeyDecision.Replay.class);
-        assertThat(world.runs.get(CALL.key())).hasSize(1);
+        simulation.settle();
+        assertThat(simulation.decisions.get(simulation.ask(second, CALL))).isInstanceOf(KeyDecision.Replay.class);
+        assertThat(simulation.runs.get(CALL.key())).hasSize(1);
     }
 
     /**
-     * The caller is told "not run" since the log doesn't answer; the claim turns up in the log after that. Either it
-     * ran although it was called not run, or the caller's honest retry meets a claim that no one ever runs.
+     * Failure: an attempt is answered "not run" because the log doesn't respond, and its claim appears in the log
+     * later. Either the call runs nevertheless, or the caller's retry finds a claim that nobody ever runs.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aClaimThatLandsAfterTheCallerWasToldNotRunNeverRunsAndDoesNotBlockTheRetry(boolean sameCompanion) {
-        AttemptId refused = world.ask(first, CALL);
-        first.answer(new AppendResult.Unknown(), world.now);
-        world.now += ClaimWorld.CLAIMS.claimTimeoutMicros();
-        first.tick(world.now);
+    void aClaimThatArrivesAfterANotRunAnswerNeverRunsAndDoesNotBlockTheRetry(boolean sameCompanion) {
+        AttemptId refused = simulation.ask(first, CALL);
+        first.completeOldestAppend(new AppendResult.Unknown(), simulation.nowMicros);
+        simulation.nowMicros += ClaimSimulation.SETTINGS.claimTimeoutMicros();
+        first.tick(simulation.nowMicros);
         assertThat(kind(refused)).isEqualTo(ErrorKind.LOG_UNAVAILABLE);
-        first.read(10, world.now);
+        first.read(10, simulation.nowMicros);
 
-        assertThat(kind(world.ask(first, CALL))).as("the claim is in doubt").isEqualTo(ErrorKind.LOG_UNAVAILABLE);
+        assertThat(kind(simulation.ask(first, CALL)))
+                .as("the claim is in doubt")
+                .isEqualTo(ErrorKind.LOG_UNAVAILABLE);
 
-        land();
-        first.read(10, world.now);
-        assertThat(world.runs).isEmpty();
-        world.settle();
-        AttemptId retry = world.ask(sameCompanion ? first : second, CALL);
-        world.settle();
+        deliver();
+        first.read(10, simulation.nowMicros);
+        assertThat(simulation.runs).isEmpty();
+        simulation.settle();
+        AttemptId retry = simulation.ask(sameCompanion ? first : second, CALL);
+        simulation.settle();
 
-        assertThat(world.decisions.get(retry)).isInstanceOf(KeyDecision.Run.class);
-        assertThat(world.runs.get(CALL.key())).hasSize(1);
+        assertThat(simulation.decisions.get(retry)).isInstanceOf(KeyDecision.Run.class);
+        assertThat(simulation.runs.get(CALL.key())).hasSize(1);
     }
 
     @Test
-    void aRepeatMayUseTheClaimOfAnAttemptThatWasGivenUp() {
-        AttemptId givenUp = world.ask(first, CALL);
-        first.answer(new AppendResult.Unknown(), world.now);
-        first.claims.cancel(givenUp);
-        AttemptId repeat = world.ask(first, CALL);
-        land();
-        first.read(10, world.now);
-
-        assertThat(world.decisions.get(repeat)).isInstanceOf(KeyDecision.Run.class);
-        assertThat(world.decisions).doesNotContainKey(givenUp);
+    void aRetryMayUseTheClaimOfACancelledAttempt() {
+        AttemptId cancelled = simulation.ask(first, CALL);
+        first.completeOldestAppend(new AppendResult.Unknown(), simulation.nowMicros);
+        first.claims.cancel(cancelled);
+        AttemptId retry = simulation.ask(first, CALL);
+        deliver();
+        first.read(10, simulation.nowMicros);
+
+        assertThat(simulation.decisions.get(retry)).isInstanceOf(KeyDecision.Run.class);
+        assertThat(simulation.decisions).doesNotContainKey(cancelled);
     }
 
     /**
-     * A companion dies with a claim that has no outcome. Its successor, or another companion, runs the call again and
-     * doubles an alarm, or has the caller wait for an answer that never comes.
+     * Failure: a companion crashes with a claim that has no outcome. Another process runs the call again, or the caller
+     * waits for an answer that never comes.
      */
     @ParameterizedTest
     @CsvSource({"true, OUTCOME_UNKNOWN", "false, KEY_IN_PROGRESS"})
-    void aDeadClaimantsCallIsUnknownAtOnceIfItsSuccessorIsHeardAndAfterAWhileOtherwise(
+    void aCrashedClaimantsCallIsUnknownAtOnceIfItRestartedAndOtherwiseAfterATimeout(
             boolean restarted, ErrorKind atOnce) {
-        world.ask(first, CALL);
-        land();
-        first.read(10, world.now);
-        SimulatedCompanion successor = world.start(restarted ? first.name : "companion-9");
-        world.companions.set(0, successor);
-        world.settle();
-        assertThat(kind(world.ask(successor, CALL))).isEqualTo(atOnce);
-        assertThat(kind(world.ask(second, CALL))).isEqualTo(atOnce);
-        world.now += ClaimWorld.CLAIMS.inProgressMicros();
-        assertThat(kind(world.ask(second, CALL))).isEqualTo(ErrorKind.OUTCOME_UNKNOWN);
+        simulation.ask(first, CALL);
+        deliver();
+        first.read(10, simulation.nowMicros);
+        SimulatedCompanion successor = simulation.start(restarted ? first.name : "companion-9");
+        simulation.companions.set(0, successor);
+        simulation.settle();
+        assertThat(kind(simulation.ask(successor, CALL))).isEqualTo(atOnce);
+        assertThat(kind(simulation.ask(second, CALL))).isEqualTo(atOnce);
+        simulation.nowMicros += ClaimSimulation.SETTINGS.presumedRunningMicros();
+        assertThat(kind(simulation.ask(second, CALL))).isEqualTo(ErrorKind.OUTCOME_UNKNOWN);
     }
 
     /**
-     * A companion is frozen after its claim reached the log. The caller's deadline passes, or even the key's retention
-     * and the caller uses the key anew at another companion; then the first wakes and runs the old call too.
+     * Failure: a companion is paused after its claim reached the log. The caller's deadline passes, or even the key's
+     * retention, and another companion runs the key again; then the first resumes and runs its old claim too.
      */
     @ParameterizedTest
-    @ValueSource(longs = {2 * ClaimWorld.SECOND, 2 * ClaimWorld.KEY_RETENTION_MICROS})
-    void aCompanionThatWakesAfterAFreezeDoesNotRunItsOldClaim(long frozenMicros) {
-        AttemptId old = world.ask(first, CALL);
-        land();
-        first.frozen = true;
-        world.now += frozenMicros;
-        first.read(10, world.now);
+    @ValueSource(longs = {2 * ClaimSimulation.MICROS_PER_SECOND, 2 * ClaimSimulation.KEY_RETENTION_MICROS})
+    void aCompanionThatResumesAfterAPauseDoesNotRunItsOldClaim(long pauseMicros) {
+        AttemptId old = simulation.ask(first, CALL);
+        deliver();
+        first.paused = true;
+        simulation.nowMicros += pauseMicros;
+        first.read(10, simulation.nowMicros);
 
         assertThat(kind(old)).isEqualTo(ErrorKind.LOG_UNAVAILABLE);
-        assertThat(world.runs).isEmpty();
+        assertThat(simulation.runs).isEmpty();
     }
 
     /**
-     * The answer to a claim comes, but the companion reads the log only after a long pause. Meanwhile the key expired
-     * and ran anew elsewhere. A caller's repeat that uses the old claim would run beside it.
+     * Failure: a companion reads its claim back only after a long pause, in which the key expired and ran again
+     * elsewhere. A retry that uses the old claim would run the call a second time.
      */
     @Test
-    void aClaimThatIsReadBackLateIsNotUsedForARepeat() {
-        AttemptId givenUp = world.ask(first, CALL);
-        land();
-        first.answer(new AppendResult.Appended(1), world.now);
-        first.claims.cancel(givenUp);
-        world.now += ClaimWorld.KEY_RETENTION_MICROS;
-        AttemptId repeat = world.ask(first, CALL);
-        assertThat(world.decisions).as("held for the old claim").isEmpty();
-        first.read(10, world.now);
-
-        assertThat(kind(repeat)).isEqualTo(ErrorKind.LOG_UNAVAILABLE);
+    void aClaimThatIsReadBackLateIsNotUsedForARetry() {
+        AttemptId cancelled = simulation.ask(first, CALL);
+        deliver();
+        first.completeOldestAppend(new AppendResult.Appended(1), simulation.nowMicros);
+        first.claims.cancel(cancelled);
+        simulation.nowMicros += ClaimSimulation.KEY_RETENTION_MICROS;
+        AttemptId retry = simulation.ask(first, CALL);
+        assertThat(simulation.decisions).as("held for the old claim").isEmpty();
+        first.read(10, simulation.nowMicros);
+
+        assertThat(kind(retry)).isEqualTo(ErrorKind.LOG_UNAVAILABLE);
     }
 
     /**
-     * A claim is given back, claimed anew and running; then a late copy of the giving back lands. A reader that takes
-     * it frees the key, and another companion runs the call beside the first.
+     * Failure: a key is released, claimed again and running when a late copy of the release arrives. A reader that
+     * applies the copy frees the key, and another companion runs the call a second time.
      */
     @Test
-    void aLateCopyOfAReleaseDoesNotFreeAKeyThatRuns() {
-        AttemptId givenUp = world.ask(first, CALL);
-        land();
-        first.answer(new AppendResult.Unknown(), world.now);
-        first.claims.cancel(givenUp);
-        first.read(10, world.now);
-        world.now += SimulatedCompanion.WRITER.intervalMicros();
-        first.tick(world.now);
-        first.answer(new AppendResult.Unknown(), world.now);
-        first.read(10, world.now);
-        world.now += SimulatedCompanion.WRITER.readBackMicros();
-        first.tick(world.now);
-        assertThat(world.log.onTheWay()).as("two copies of the release").isEqualTo(2);
-        world.log.land(1, world.now);
-        first.read(10, world.now);
-        AttemptId repeat = world.ask(first, CALL);
-        world.now += SimulatedCompanion.WRITER.intervalMicros();
-        first.tick(world.now);
-        world.log.land(1, world.now);
-        first.read(10, world.now);
-        assertThat(world.decisions.get(repeat)).isInstanceOf(KeyDecision.Run.class);
-
-        land();
-        second.read(10, world.now);
-        assertThat(kind(world.ask(second, CALL))).isEqualTo(ErrorKind.KEY_IN_PROGRESS);
+    void aLateDuplicateOfAReleaseDoesNotFreeARunningKey() {
+        AttemptId cancelled = simulation.ask(first, CALL);
+        deliver();
+        first.completeOldestAppend(new AppendResult.Unknown(), simulation.nowMicros);
+        first.claims.cancel(cancelled);
+        first.read(10, simulation.nowMicros);
+        simulation.nowMicros += SimulatedCompanion.WRITER_SETTINGS.minSendIntervalMicros();
+        first.tick(simulation.nowMicros);
+        first.completeOldestAppend(new AppendResult.Unknown(), simulation.nowMicros);
+        first.read(10, simulation.nowMicros);
+        simulation.nowMicros += SimulatedCompanion.WRITER_SETTINGS.readBackTimeoutMicros();
+        first.tick(simulation.nowMicros);
+        assertThat(simulation.log.inFlight()).as("two copies of the release").isEqualTo(2);
+        simulation.log.deliver(1, simulation.nowMicros);
+        first.read(10, simulation.nowMicros);
+        AttemptId retry = simulation.ask(first, CALL);
+        simulation.nowMicros += SimulatedCompanion.WRITER_SETTINGS.minSendIntervalMicros();
+        first.tick(simulation.nowMicros);
+        simulation.log.deliver(1, simulation.nowMicros);
+        first.read(10, simulation.nowMicros);
+        assertThat(simulation.decisions.get(retry)).isInstanceOf(KeyDecision.Run.class);
+
+        deliver();
+        second.read(10, simulation.nowMicros);
+        assertThat(kind(simulation.ask(second, CALL))).isEqualTo(ErrorKind.KEY_IN_PROGRESS);
     }
 
     /**
-     * A companion was frozen for longer than the log keeps records. What it has missed is older than any key, but what
-     * was claimed since still stands between the gap and the end.
+     * A companion is paused for longer than the log retains records. The missed records are older than any key, but
+     * claims between the gap and the end are still valid.
      */
     @Test
-    void afterAGapNothingIsClaimedBeforeTheRestIsRead() {
+    void afterMissingRecordsNothingIsClaimedUntilTheLogIsReadToItsEnd() {
         claimAndRead(second, 1);
-        world.now += ClaimWorld.LOG_RETENTION_MICROS;
+        simulation.nowMicros += ClaimSimulation.LOG_RETENTION_MICROS;
         claimAndRead(second, 2);
         claimAndRead(second, 3);
-        first.read(1, world.now);
-        assertThat(kind(world.ask(first, CALL))).isEqualTo(ErrorKind.LOG_UNAVAILABLE);
-        first.read(10, world.now);
-        assertThat(world.decisions).doesNotContainKey(world.ask(first, CALL));
+        first.read(1, simulation.nowMicros);
+        assertThat(kind(simulation.ask(first, CALL))).isEqualTo(ErrorKind.LOG_UNAVAILABLE);
+        first.read(10, simulation.nowMicros);
+        assertThat(simulation.decisions).doesNotContainKey(simulation.ask(first, CALL));
     }
 
-    /** A key is blocked until it expires: its claim turned up so late that its claimant had forgotten it. */
+    /** Failure: a claim appears in the log after its claimant dropped it, which blocks the key until it expires. */
     @Test
-    void aClaimThatTurnsUpAfterItWasForgottenIsGivenBack() {
-        AttemptId givenUp = world.ask(first, CALL);
-        first.answer(new AppendResult.Unknown(), world.now);
-        first.claims.cancel(givenUp);
-        world.now += ClaimWorld.CLAIMS.logRetentionMicros() + 1;
-        first.tick(world.now);
+    void aClaimThatIsReadBackAfterItsKeyWasDroppedIsReleased() {
+        AttemptId cancelled = simulation.ask(first, CALL);
+        first.completeOldestAppend(new AppendResult.Unknown(), simulation.nowMicros);
+        first.claims.cancel(cancelled);
+        simulation.nowMicros += ClaimSimulation.SETTINGS.logRetentionMicros() + 1;
+        first.tick(simulation.nowMicros);
         assertThat(first.claims.isDrained()).isTrue();
-        world.settle();
-        AttemptId elsewhere = world.ask(second, CALL);
-        world.settle();
+        simulation.settle();
+        AttemptId elsewhere = simulation.ask(second, CALL);
+        simulation.settle();
 
-        assertThat(world.decisions.get(elsewhere)).isInstanceOf(KeyDecision.Run.class);
+        assertThat(simulation.decisions.get(elsewhere)).isInstanceOf(KeyDecision.Run.class);
     }
 
     @Test
     void theSameKeyWithAnotherRequestIsRefusedBeforeDuringAndAfterTheRun() {
-        KeyedCall other = ClaimWorld.call(0, 1);
-        world.ask(first, CALL);
-        assertThat(kind(world.ask(first, other))).isEqualTo(ErrorKind.KEY_REUSED);
-        land();
-        first.read(10, world.now);
-        assertThat(kind(world.ask(first, other))).isEqualTo(ErrorKind.KEY_REUSED);
-        world.settle();
-        assertThat(kind(world.ask(second, other))).isEqualTo(ErrorKind.KEY_REUSED);
+        KeyedCall other = ClaimSimulation.call(0, 1);
+        simulation.ask(first, CALL);
+        assertThat(kind(simulation.ask(first, other))).isEqualTo(ErrorKind.KEY_REUSED);
+        deliver();
+        first.read(10, simulation.nowMicros);
+        assertThat(kind(simulation.ask(first, other))).isEqualTo(ErrorKind.KEY_REUSED);
+        simulation.settle();
+        assertThat(kind(simulation.ask(second, other))).isEqualTo(ErrorKind.KEY_REUSED);
     }
 
     /**
-     * Through an outage of the log depot clerks stare at a terminal that hangs. What can't be claimed is refused at
-     * once, and what was answered before is answered still.
+     * Failure: callers hang during an outage of the log. Calls that can't be claimed must be refused at once, and
+     * recorded answers must still be replayed.
      */
     @Test
-    void whileTheLogIsDownNewKeysAreRefusedAtOnceAndRecordedAnswersStillGoOut() {
-        world.ask(first, CALL);
-        world.settle();
-        world.log.down = true;
-        first.read(10, world.now);
-        second.read(10, world.now);
-
-        assertThat(kind(world.ask(first, ClaimWorld.call(1, 0)))).isEqualTo(ErrorKind.LOG_UNAVAILABLE);
-        assertThat(world.decisions.get(world.ask(second, CALL))).isInstanceOf(KeyDecision.Replay.class);
+    void whileTheLogIsDownNewKeysAreRefusedAtOnceAndRecordedAnswersAreReplayed() {
+        simulation.ask(first, CALL);
+        simulation.settle();
+        simulation.log.down = true;
+        first.read(10, simulation.nowMicros);
+        second.read(10, simulation.nowMicros);
+
+        assertThat(kind(simulation.ask(first, ClaimSimulation.call(1, 0)))).isEqualTo(ErrorKind.LOG_UNAVAILABLE);
+        assertThat(simulation.decisions.get(simulation.ask(second, CALL))).isInstanceOf(KeyDecision.Replay.class);
     }
 
     @Test
-    void nothingRunsBeforeTheClaimsWereReadToTheirEnd() {
-        world.ask(second, CALL);
-        world.settle();
-        SimulatedCompanion late = world.start("companion-9");
-        world.companions.set(0, late);
-        late.read(1, world.now);
-
-        assertThat(kind(world.ask(late, ClaimWorld.call(1, 0)))).isEqualTo(ErrorKind.LOG_UNAVAILABLE);
-        world.settle();
-        assertThat(world.decisions.get(world.ask(late, CALL))).isInstanceOf(KeyDecision.Replay.class);
+    void nothingRunsBeforeTheClaimsAreReadToTheirEnd() {
+        simulation.ask(second, CALL);
+        simulation.settle();
+        SimulatedCompanion late = simulation.start("companion-9");
+        simulation.companions.set(0, late);
+        late.read(1, simulation.nowMicros);
+
+        assertThat(kind(simulation.ask(late, ClaimSimulation.call(1, 0)))).isEqualTo(ErrorKind.LOG_UNAVAILABLE);
+        simulation.settle();
+        assertThat(simulation.decisions.get(simulation.ask(late, CALL))).isInstanceOf(KeyDecision.Replay.class);
     }
 
     @Test
-    void aCallThatNeverReachedItsTargetLeavesItsKeyFree() {
-        world.ask(first, CALL);
-        land();
-        first.read(10, world.now);
-        world.end(first, "not run");
-        AttemptId here = world.ask(first, CALL);
-        assertThat(world.decisions).doesNotContainKey(here);
-        world.settle();
-        assertThat(world.decisions.get(here)).isInstanceOf(KeyDecision.Run.class);
-        assertThat(world.runs.get(CALL.key())).hasSize(1);
+    void aCallThatNeverReachedItsTargetReleasesItsKey() {
+        simulation.ask(first, CALL);
+        deliver();
+        first.read(10, simulation.nowMicros);
+        simulation.end(first, "not run");
+        AttemptId here = simulation.ask(first, CALL);
+        assertThat(simulation.decisions).doesNotContainKey(here);
+        simulation.settle();
+        assertThat(simulation.decisions.get(here)).isInstanceOf(KeyDecision.Run.class);
+        assertThat(simulation.runs.get(CALL.key())).hasSize(1);
     }
 
     @Test
-    void anAnswerAboveTheBoundIsRecordedAsStatusOnlyAndSaysSo() {
-        AttemptId attempt = world.ask(first, CALL);
-        land();
-        first.read(10, world.now);
+    void anAnswerAboveTheLimitIsRecordedAsStatusOnly() {
+        AttemptId attempt = simulation.ask(first, CALL);
+        deliver();
+        first.read(10, simulation.nowMicros);
         first.running.clear();
-        first.claims.recordAnswer(attempt, 201, List.of(), new byte[ClaimWorld.CLAIMS.maxRecordedBodyBytes() + 1]);
-        world.settle();
+        first.claims.recordAnswer(
+                attempt, 201, List.of(), new byte[ClaimSimulation.SETTINGS.maxRecordedBodyBytes() + 1]);
+        simulation.settle();
 
-        KeyedDecision replay =
-                new KeyedDecision(second.claims.admit(new AttemptId(2, 1, 1), CALL, world.now, world.now));
+        KeyedDecision replay = new KeyedDecision(
+                second.claims.admit(new AttemptId(2, 1, 1), CALL, simulation.nowMicros, simulation.nowMicros));
         assertThat(replay.answer().status()).isEqualTo(201);
         assertThat(replay.answer().body()).isEmpty();
-        assertThat(replay.answer().isWhole()).isFalse();
+        assertThat(replay.answer().isComplete()).isFalse();
     }
 
     private record KeyedDecision(KeyDecision decision) {
@@ -276,18 +279,18 @@
     }
 
     private void claimAndRead(SimulatedCompanion companion, int key) {
-        world.ask(companion, ClaimWorld.call(key, 0));
-        land();
-        companion.read(10, world.now);
-        world.now += SimulatedCompanion.WRITER.intervalMicros();
+        simulation.ask(companion, ClaimSimulation.call(key, 0));
+        deliver();
+        companion.read(10, simulation.nowMicros);
+        simulation.nowMicros += SimulatedCompanion.WRITER_SETTINGS.minSendIntervalMicros();
     }
 
-    private void land() {
-        world.log.land(0, world.now);
+    private void deliver() {
+        simulation.log.deliver(0, simulation.nowMicros);
     }
 
     private ErrorKind kind(AttemptId attempt) {
-        KeyDecision decision = world.decisions.get(attempt);
+        KeyDecision decision = simulation.decisions.get(attempt);
         assertThat(decision).isInstanceOf(KeyDecision.Refuse.class);
         return ((KeyDecision.Refuse) decision).refusal().kind();
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyLedgerTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/KeyLedgerTest.java
@@ -19,28 +19,28 @@
 class KeyLedgerTest {
     private static final int KEYS = 4;
 
-    /** A ledger that answers otherwise than the plain reading of the log runs a key twice or loses its answer. */
+    /** Compares the ledger with a simple reference; a difference would let a key run twice or lose its answer. */
     @Property(seed = "41", tries = 500)
-    void saysOfEachKeyWhatAPlainReadingOfTheLogSays(@ForAll long seed) {
+    void agreesWithASimpleReferenceOnEveryKey(@ForAll long seed) {
         Random random = new Random(seed);
         KeyLedger ledger = new KeyLedger(1_000_000);
-        List<Written> log = new ArrayList<>();
+        List<LoggedEntry> log = new ArrayList<>();
         for (int offset = 1; offset <= 120; offset++) {
-            Written written = new Written(offset, 1 + random.nextInt(4), draw(random, offset));
-            log.add(written);
-            ledger.apply(offset, written.writer(), written.entry(), 0);
-            int held = 0;
+            LoggedEntry logged = new LoggedEntry(offset, 1 + random.nextInt(4), randomEntry(random, offset));
+            log.add(logged);
+            ledger.apply(offset, logged.writer(), logged.entry(), 0);
+            int claimedKeys = 0;
             for (int key = 0; key < KEYS; key++) {
-                Optional<String> plain = plainState(log, key(key));
-                assertThat(ledger.state(key(key)).map(KeyLedgerTest::text)).isEqualTo(plain);
-                held += plain.isPresent() ? 1 : 0;
+                Optional<String> expected = referenceState(log, key(key));
+                assertThat(ledger.state(key(key)).map(KeyLedgerTest::text)).isEqualTo(expected);
+                claimedKeys += expected.isPresent() ? 1 : 0;
             }
-            assertThat(ledger.size()).isEqualTo(held);
+            assertThat(ledger.size()).isEqualTo(claimedKeys);
         }
     }
 
     @Test
-    void theOldestBodiesGoWhenTheirBudgetIsSpentAndSayThatTheyAreGone() {
+    void aboveTheBodyLimitTheOldestAnswersBecomeStatusOnly() {
         KeyLedger ledger = new KeyLedger(100);
         for (int key = 0; key < 3; key++) {
             ledger.apply(key + 1, 1, claim(key, 1, 0), 0);
@@ -48,15 +48,15 @@
             ledger.apply(key + 1, 1, answer.toEntry(key(key)), 0);
         }
 
-        assertThat(answer(ledger, 0).isWhole()).isFalse();
+        assertThat(answer(ledger, 0).isComplete()).isFalse();
         assertThat(answer(ledger, 0).status()).isEqualTo(201);
-        assertThat(answer(ledger, 1).isWhole()).isTrue();
+        assertThat(answer(ledger, 1).isComplete()).isTrue();
         assertThat(answer(ledger, 2).body()).hasSize(50);
     }
 
-    private record Written(long offset, long writer, LogEntry entry) {}
+    private record LoggedEntry(long offset, long writer, LogEntry entry) {}
 
-    private static LogEntry draw(Random random, int offset) {
+    private static LogEntry randomEntry(Random random, int offset) {
         int key = random.nextInt(KEYS);
         return switch (random.nextInt(9)) {
             case 0, 1, 2 -> claim(key, 1 + random.nextInt(4), random.nextInt(3) == 0 ? random.nextInt(offset) : 0);
@@ -68,37 +68,36 @@
         };
     }
 
-    /** Reads the whole log anew for one key, with the rule written down as plainly as possible. */
-    private static Optional<String> plainState(List<Written> log, Digest key) {
+    /** Computes the state of one key from the whole log, as simply as possible. */
+    private static Optional<String> referenceState(List<LoggedEntry> log, Digest key) {
         Map<InstanceName, Long> last = new HashMap<>();
         long claimant = 0;
         long claimedAt = 0;
         String state = null;
-        for (Written written : log) {
-            boolean holds = "open".equals(state) && written.writer() == claimant;
-            if (written.entry() instanceof LogEntry.KeyClaim claim
-                    && claim.key().equals(key)) {
+        for (LoggedEntry logged : log) {
+            boolean holds = "open".equals(state) && logged.writer() == claimant;
+            if (logged.entry() instanceof LogEntry.KeyClaim claim && claim.key().equals(key)) {
                 boolean free = state == null || claim.readOffset() >= claimedAt;
-                if (free && claim.claimant() == written.writer()) {
+                if (free && claim.claimant() == logged.writer()) {
                     state = "open";
                     claimant = claim.claimant();
-                    claimedAt = written.offset();
+                    claimedAt = logged.offset();
                 }
-            } else if (written.entry() instanceof LogEntry.KeyOutcome outcome
+            } else if (logged.entry() instanceof LogEntry.KeyOutcome outcome
                     && outcome.key().equals(key)) {
                 state = holds ? "status " + outcome.status() : state;
-            } else if (written.entry() instanceof LogEntry.KeyRelease release
+            } else if (logged.entry() instanceof LogEntry.KeyRelease release
                     && release.key().equals(key)) {
                 state = holds ? null : state;
-            } else if (written.entry() instanceof LogEntry.KeyUnresolved unresolved
+            } else if (logged.entry() instanceof LogEntry.KeyUnresolved unresolved
                     && unresolved.key().equals(key)) {
                 state = holds ? "unresolved" : state;
-            } else if (written.entry() instanceof LogEntry.KeysExpired expired) {
+            } else if (logged.entry() instanceof LogEntry.KeysExpired expired) {
                 boolean ours = service(0).equals(expired.service()) == isOfFirstService(key);
                 state = ours && claimedAt <= expired.upToOffset() ? null : state;
-            } else if (written.entry() instanceof LogEntry.ClaimantStarted started) {
-                Long before = last.put(started.instance(), written.writer());
-                boolean gone = before != null && before != written.writer() && before == claimant;
+            } else if (logged.entry() instanceof LogEntry.ClaimantStarted started) {
+                Long before = last.put(started.instance(), logged.writer());
+                boolean gone = before != null && before != logged.writer() && before == claimant;
                 state = gone && "open".equals(state) ? "unresolved" : state;
             }
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/SimulatedCompanion.java
@@ -14,67 +14,67 @@
 import org.rattanrudder.core.model.AttemptId;
 import org.rattanrudder.core.model.InstanceName;
 
-/** One incarnation of a companion: its claims, what it runs, and its place in the log. */
+/** One incarnation of a companion, with its claims, its runs and its position in the log. */
 final class SimulatedCompanion {
-    static final LogWriterSettings WRITER =
+    static final LogWriterSettings WRITER_SETTINGS =
             new LogWriterSettings(10_000, 4, 100_000, 64, 200_000, 500_000, 20_000, 400_000);
 
     final String name;
     final long incarnation;
     final KeyClaims claims;
     final List<AttemptId> running = new ArrayList<>();
-    final Deque<LogBatch> unanswered = new ArrayDeque<>();
-    boolean frozen;
+    final Deque<LogBatch> unansweredAppends = new ArrayDeque<>();
+    boolean paused;
     long position;
-    /** Whether the log dropped records before this companion read them. */
-    boolean skipped;
+    /** Whether the log dropped records that this companion hadn't read. */
+    boolean missedRecords;
 
-    private final SharedLog log;
-    private final KeyDecision.Listener sink;
+    private final FaultyLog log;
+    private final KeyDecision.Listener listener;
 
-    SimulatedCompanion(String name, long incarnation, SharedLog log, Random random, KeyDecision.Listener sink) {
+    SimulatedCompanion(String name, long incarnation, FaultyLog log, Random random, KeyDecision.Listener listener) {
         this.name = name;
         this.incarnation = incarnation;
         this.log = log;
-        this.sink = sink;
-        LogWriter writer = new LogWriter(LogStream.CLAIMS, incarnation, WRITER, random);
-        claims = new KeyClaims(incarnation, new InstanceName(name), ClaimWorld.CLAIMS, writer, random);
-        claims.setKeyRetention(ClaimWorld.SERVICE, ClaimWorld.KEY_RETENTION_MICROS);
+        this.listener = listener;
+        LogWriter writer = new LogWriter(LogStream.CLAIMS, incarnation, WRITER_SETTINGS, random);
+        claims = new KeyClaims(incarnation, new InstanceName(name), ClaimSimulation.SETTINGS, writer, random);
+        claims.setKeyRetention(ClaimSimulation.SERVICE, ClaimSimulation.KEY_RETENTION_MICROS);
     }
 
-    void pump(long now) {
+    void sendDue(long now) {
         claims.sendDue(now, (stream, batch) -> {
-            unanswered.add(batch);
+            unansweredAppends.add(batch);
             log.send(batch, now);
         });
     }
 
     void tick(long now) {
-        claims.tick(now, sink);
-        pump(now);
+        claims.tick(now, listener);
+        sendDue(now);
     }
 
-    void read(int most, long now) {
+    void read(int maxRecords, long now) {
         if (log.down) {
             claims.onReadFailed();
             return;
         }
-        List<LogRecord> records = log.readAbove(position, most, now);
-        skipped |= position < log.dropped();
+        List<LogRecord> records = log.readAbove(position, maxRecords, now);
+        missedRecords |= position < log.lastDroppedOffset();
         if (!records.isEmpty()) {
             position = records.get(records.size() - 1).offset();
         }
-        claims.onRecords(records, records.size() < most, now, sink);
-        pump(now);
+        claims.onRecords(records, records.size() < maxRecords, now, listener);
+        sendDue(now);
     }
 
     boolean isCaughtUp() {
-        return position == log.end();
+        return position == log.lastOffset();
     }
 
-    /** Answers the oldest append that has no answer. */
-    void answer(AppendResult result, long now) {
-        claims.onAppendResult(unanswered.poll().sequence(), result, now);
-        pump(now);
+    /** Delivers the result of the oldest append without a result. */
+    void completeOldestAppend(AppendResult result, long now) {
+        claims.onAppendResult(unansweredAppends.poll().sequence(), result, now);
+        sendDue(now);
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRateBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRateBench.java
@@ -2,17 +2,20 @@
 
 import java.util.Locale;
 
-/** Measures claims in the log over batch intervals and writers, and what an outage of an hour leaves served. */
+/**
+ * Measures the rate and latency of claims by batch interval and number of writers, and the service during a one-hour
+ * outage of the log.
+ */
 public final class ClaimRateBench {
     private static final double APPENDS_PER_SECOND = 300;
     private static final long TICK_MICROS = 50_000;
-    private static final long LOADED_MICROS = 10 * ClaimRun.SECOND;
-    private static final int[] LADDER = {50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 20_000};
-    private static final double MOST_REFUSED = 0.001;
+    private static final long LOAD_DURATION_MICROS = 10 * ClaimRateSimulation.MICROS_PER_SECOND;
+    private static final int[] CALLS_PER_SECOND = {50, 100, 200, 500, 1_000, 2_000, 5_000, 10_000, 20_000};
+    private static final double MAX_REFUSED_SHARE = 0.001;
 
     private ClaimRateBench() {}
 
-    /** Prints both tables; the figures are of simulated time and the same in each run. */
+    /** Prints both tables; times are simulated, so the figures are the same in each run. */
     public static void main(String[] arguments) {
         System.out.println("| writers | interval ms | carried/s | p50/p99 ms at 100/s | p50/p99 ms at 1,000/s"
                 + " | appends/s and refused appends/s at 1,000/s |");
@@ -27,15 +30,15 @@
     }
 
     private static String row(int writers, long interval) {
-        ClaimRun slow = run(writers, interval, 100);
-        ClaimRun fast = run(writers, interval, 1_000);
-        double seconds = LOADED_MICROS / (double) ClaimRun.SECOND;
+        ClaimRateSimulation slow = run(writers, interval, 100);
+        ClaimRateSimulation fast = run(writers, interval, 1_000);
+        double seconds = LOAD_DURATION_MICROS / (double) ClaimRateSimulation.MICROS_PER_SECOND;
         return String.format(
                 Locale.ROOT,
                 "| %d | %d | %,d | %.0f / %.0f | %.0f / %.0f | %.0f, %.0f |",
                 writers,
                 interval / 1_000,
-                carried(writers, interval),
+                sustainedRate(writers, interval),
                 slow.claimMillis(0.5),
                 slow.claimMillis(0.99),
                 fast.claimMillis(0.5),
@@ -44,12 +47,12 @@
                 fast.log.refused / seconds);
     }
 
-    /** Returns the highest rate of the ladder at which at most one call in a thousand is refused. */
-    private static int carried(int writers, long interval) {
+    /** Returns the highest rate at which at most one call in a thousand is refused. */
+    private static int sustainedRate(int writers, long interval) {
         int carried = 0;
-        for (int rate : LADDER) {
-            ClaimRun run = run(writers, interval, rate);
-            if (run.refused() > MOST_REFUSED * run.asked) {
+        for (int rate : CALLS_PER_SECOND) {
+            ClaimRateSimulation run = run(writers, interval, rate);
+            if (run.refused() > MAX_REFUSED_SHARE * run.asked) {
                 break;
             }
             carried = rate;
@@ -57,19 +60,19 @@
         return carried;
     }
 
-    private static ClaimRun run(int writers, long interval, int callsPerSecond) {
-        ClaimRun run = new ClaimRun(writers, interval, TICK_MICROS, APPENDS_PER_SECOND);
-        run.load(callsPerSecond, LOADED_MICROS);
+    private static ClaimRateSimulation run(int writers, long interval, int callsPerSecond) {
+        ClaimRateSimulation run = new ClaimRateSimulation(writers, interval, TICK_MICROS, APPENDS_PER_SECOND);
+        run.load(callsPerSecond, LOAD_DURATION_MICROS);
         return run;
     }
 
     private static void outage() {
-        ClaimRun run = new ClaimRun(3, 10_000, TICK_MICROS, APPENDS_PER_SECOND);
-        run.load(20, 60 * ClaimRun.SECOND);
+        ClaimRateSimulation run = new ClaimRateSimulation(3, 10_000, TICK_MICROS, APPENDS_PER_SECOND);
+        run.load(20, 60 * ClaimRateSimulation.MICROS_PER_SECOND);
         int before = run.ran();
         int refusedBefore = run.refused();
         run.log.down = true;
-        run.load(20, 3_600 * ClaimRun.SECOND);
+        run.load(20, 3_600 * ClaimRateSimulation.MICROS_PER_SECOND);
         int asked = run.asked;
         int repeated = Math.min(1_000, before);
         for (int key = 0; key < repeated; key++) {
@@ -89,7 +92,7 @@
                 run.replayed);
         run.log.down = false;
         int ran = run.ran();
-        run.load(20, ClaimRun.SECOND);
+        run.load(20, ClaimRateSimulation.MICROS_PER_SECOND);
         System.out.printf(
                 Locale.ROOT,
                 "In the first second after it: ran %d of %d.%n",
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRun.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/ClaimRateSimulation.java
@@ -18,14 +18,14 @@
 import org.rattanrudder.core.model.InstanceName;
 import org.rattanrudder.core.model.ServiceName;
 
-/** Some companions that claim the keys of calls at a given rate, and what their callers see. */
-final class ClaimRun {
-    static final long SECOND = 1_000_000;
+/** Simulates companions that claim the keys of calls at a given rate, and records the latencies that callers see. */
+final class ClaimRateSimulation {
+    static final long MICROS_PER_SECOND = 1_000_000;
 
     private static final ServiceName SERVICE = new ServiceName("fuel-ledger");
-    private static final long CALL_MICROS = 5_000;
+    private static final long CALL_DURATION_MICROS = 5_000;
 
-    final Timeline timeline = new Timeline();
+    final EventQueue events = new EventQueue();
     final SimulatedLog log;
     final long tickMicros;
     int asked;
@@ -37,13 +37,13 @@
     private final List<Long> refusalMicros = new ArrayList<>();
     private long sequence;
 
-    ClaimRun(int writers, long intervalMicros, long tickMicros, double appendsPerSecond) {
+    ClaimRateSimulation(int writers, long intervalMicros, long tickMicros, double appendsPerSecond) {
         this.tickMicros = tickMicros;
-        log = new SimulatedLog(timeline, appendsPerSecond, random);
+        log = new SimulatedLog(events, appendsPerSecond, random);
         for (int number = 1; number <= writers; number++) {
-            companions.add(new Companion(number, LogWriterSettings.DEFAULT.withIntervalMicros(intervalMicros)));
+            companions.add(new Companion(number, LogWriterSettings.DEFAULT.withMinSendIntervalMicros(intervalMicros)));
         }
-        timeline.run(2 * SECOND);
+        events.runUntil(2 * MICROS_PER_SECOND);
     }
 
     private final class Companion {
@@ -53,31 +53,31 @@
             LogWriter writer = new LogWriter(LogStream.CLAIMS, number, settings, new Random(number));
             InstanceName name = new InstanceName("companion-" + number);
             claims = new KeyClaims(number, name, ClaimSettings.DEFAULT, writer, new Random(number));
-            claims.setKeyRetention(SERVICE, 86_400 * SECOND);
+            claims.setKeyRetention(SERVICE, 86_400 * MICROS_PER_SECOND);
             claims.onRecords(List.of(), true, 0, this::decided);
             log.subscribe(record -> {
-                claims.onRecords(List.of(record), true, timeline.now(), this::decided);
+                claims.onRecords(List.of(record), true, events.now(), this::decided);
                 pump();
             });
-            timeline.after(number * tickMicros / 100, this::tick);
+            events.schedule(number * tickMicros / 100, this::tick);
         }
 
         private void tick() {
             if (log.down) {
                 claims.onReadFailed();
             } else {
-                claims.onRecords(List.of(), true, timeline.now(), this::decided);
+                claims.onRecords(List.of(), true, events.now(), this::decided);
             }
-            claims.tick(timeline.now(), this::decided);
+            claims.tick(events.now(), this::decided);
             pump();
-            timeline.after(tickMicros, this::tick);
+            events.schedule(tickMicros, this::tick);
         }
 
         private void ask(KeyedCall call) {
             AttemptId attempt = new AttemptId(1, ++sequence, 1);
-            askedMicros.put(attempt, timeline.now());
+            askedMicros.put(attempt, events.now());
             asked++;
-            KeyDecision decision = claims.admit(attempt, call, timeline.now(), timeline.now() + 10 * SECOND);
+            KeyDecision decision = claims.admit(attempt, call, events.now(), events.now() + 10 * MICROS_PER_SECOND);
             if (!(decision instanceof KeyDecision.Hold)) {
                 decided(attempt, decision);
             }
@@ -85,10 +85,10 @@
         }
 
         private void decided(AttemptId attempt, KeyDecision decision) {
-            long waited = timeline.now() - askedMicros.remove(attempt);
+            long waited = events.now() - askedMicros.remove(attempt);
             if (decision instanceof KeyDecision.Run) {
                 claimMicros.add(waited);
-                timeline.after(CALL_MICROS, () -> {
+                events.schedule(CALL_DURATION_MICROS, () -> {
                     claims.recordAnswer(attempt, 201, List.of(), new byte[40]);
                     pump();
                 });
@@ -101,33 +101,33 @@
 
         private void pump() {
             claims.sendDue(
-                    timeline.now(),
+                    events.now(),
                     (stream, batch) -> log.append(batch, result -> {
-                        claims.onAppendResult(batch.sequence(), result, timeline.now());
+                        claims.onAppendResult(batch.sequence(), result, events.now());
                         pump();
                     }));
         }
     }
 
-    /** Lets calls with new keys arrive at random times for a while. */
+    /** Generates calls with new keys at random times for a period. */
     void load(double callsPerSecond, long micros) {
-        long end = timeline.now() + micros;
+        long end = events.now() + micros;
         arrive(callsPerSecond, end);
-        timeline.run(end);
+        events.runUntil(end);
     }
 
     private void arrive(double callsPerSecond, long end) {
-        long gap = (long) (-Math.log(1 - random.nextDouble()) / callsPerSecond * SECOND);
-        if (timeline.now() + gap >= end) {
+        long gap = (long) (-Math.log(1 - random.nextDouble()) / callsPerSecond * MICROS_PER_SECOND);
+        if (events.now() + gap >= end) {
             return;
         }
-        timeline.after(gap, () -> {
+        events.schedule(gap, () -> {
             ask(asked);
             arrive(callsPerSecond, end);
         });
     }
 
-    /** Asks any companion to run the call of a numbered key. */
+    /** Sends the call of a numbered key to a random companion. */
     void ask(int key) {
         Digest digest = new Digest(key, 1, 2, 3);
         companions.get(random.nextInt(companions.size())).ask(new KeyedCall(digest, digest, SERVICE));
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/LedgerBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/LedgerBench.java
@@ -9,17 +9,17 @@
 import org.rattanrudder.core.model.Digest;
 import org.rattanrudder.core.model.ServiceName;
 
-/** Measures the bytes a key takes in the ledger, and the time to read its claim and outcome. */
+/** Measures the memory that a key takes in the ledger, and the time to apply its claim and outcome. */
 public final class LedgerBench {
     private static final ServiceName SERVICE = new ServiceName("fuel-ledger");
     private static final int ROUNDS = 3;
     private static final int WARM_UP_KEYS = 50_000;
 
-    private static KeyLedger kept;
+    private static KeyLedger retained;
 
     private LedgerBench() {}
 
-    /** Prints one row for each number of keys; the last of three rounds, after others to warm up. */
+    /** Prints one row for each number of keys, from the last of three rounds, after warm-up rounds. */
     public static void main(String[] arguments) {
         System.out.println("| keys | bytes a key | ns a claim | ns an outcome | ns a look-up |");
         System.out.println("| ---: | ---: | ---: | ---: | ---: |");
@@ -38,16 +38,16 @@
     private static String measure(int keys) {
         LogEntry[] claims = new LogEntry[keys];
         LogEntry[] outcomes = new LogEntry[keys];
-        kept = null;
+        retained = null;
         long before = usedBytes();
-        // The digests and entries are made anew for each key, as a reader's codec makes them, and are counted.
+        // Digests and entries are created for each key, as a reader's codec does, and are included in the memory.
         for (int key = 0; key < keys; key++) {
             Digest digest = Digest.of("key", Integer.toString(key));
             claims[key] = new LogEntry.KeyClaim(digest, Digest.of("request", "" + key), 1, SERVICE, 0);
             outcomes[key] = RecordedAnswerEntry.of(digest);
         }
         KeyLedger ledger = new KeyLedger(0);
-        kept = ledger;
+        retained = ledger;
         long started = System.nanoTime();
         for (int key = 0; key < keys; key++) {
             ledger.apply(key + 1, 1, claims[key], key);
@@ -65,7 +65,7 @@
         Arrays.fill(claims, null);
         Arrays.fill(outcomes, null);
         long bytes = usedBytes() - before;
-        if (found != keys || kept.size() != keys || claims.length != outcomes.length) {
+        if (found != keys || retained.size() != keys || claims.length != outcomes.length) {
             throw new IllegalStateException("the ledger lost keys");
         }
         return String.format(
@@ -85,7 +85,7 @@
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    /** An outcome with a status and no body: bodies are bounded by a budget of their own. */
+    /** Creates outcomes without bodies, since bodies have a memory limit of their own. */
     private static final class RecordedAnswerEntry {
         private RecordedAnswerEntry() {}
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/SimulatedLog.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/claims/bench/SimulatedLog.java
@@ -8,14 +8,14 @@
 import org.rattanrudder.core.log.LogBatch;
 import org.rattanrudder.core.log.LogRecord;
 
-/** A log with a rate limit over all writers, and the delays of a small network, in simulated time. */
+/** A log with a rate limit across all writers and the delays of a local network, in simulated time. */
 final class SimulatedLog {
     private static final long APPEND_MICROS = 2_000;
-    private static final long ANSWER_MICROS = 1_000;
+    private static final long RESPONSE_MICROS = 1_000;
     private static final long READ_MICROS = 1_500;
     private static final long JITTER_MICROS = 1_000;
 
-    private final Timeline timeline;
+    private final EventQueue events;
     private final Random random;
     private final double appendsPerSecond;
     private final List<Consumer<LogRecord>> readers = new ArrayList<>();
@@ -26,8 +26,8 @@
     long appends;
     long refused;
 
-    SimulatedLog(Timeline timeline, double appendsPerSecond, Random random) {
-        this.timeline = timeline;
+    SimulatedLog(EventQueue timeline, double appendsPerSecond, Random random) {
+        this.events = timeline;
         this.appendsPerSecond = appendsPerSecond;
         this.random = random;
         this.tokens = appendsPerSecond / 10;
@@ -38,24 +38,24 @@
     }
 
     void append(LogBatch batch, Consumer<AppendResult> answer) {
-        timeline.after(APPEND_MICROS + jitter(), () -> arrive(batch, answer));
+        events.schedule(APPEND_MICROS + jitter(), () -> arrive(batch, answer));
     }
 
     private void arrive(LogBatch batch, Consumer<AppendResult> answer) {
-        double gained = (timeline.now() - refilledMicros) * appendsPerSecond / 1e6;
+        double gained = (events.now() - refilledMicros) * appendsPerSecond / 1e6;
         tokens = Math.min(appendsPerSecond / 10, tokens + gained);
-        refilledMicros = timeline.now();
+        refilledMicros = events.now();
         if (down || tokens < 1) {
             refused++;
-            timeline.after(ANSWER_MICROS, () -> answer.accept(new AppendResult.Refused()));
+            events.schedule(RESPONSE_MICROS, () -> answer.accept(new AppendResult.Refused()));
             return;
         }
         tokens--;
         appends++;
         LogRecord record = new LogRecord(++offset, batch);
-        timeline.after(ANSWER_MICROS, () -> answer.accept(new AppendResult.Appended(record.offset())));
-        // One delay for all readers, in the order of the log: each sees every record once and in order.
-        timeline.after(READ_MICROS, () -> readers.forEach(reader -> reader.accept(record)));
+        events.schedule(RESPONSE_MICROS, () -> answer.accept(new AppendResult.Appended(record.offset())));
+        // The delay is the same for all readers, so that each reads every record once and in order.
+        events.schedule(READ_MICROS, () -> readers.forEach(reader -> reader.accept(record)));
     }
 
     private long jitter() {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/UnreliableLog.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterSimulation.java
@@ -4,22 +4,22 @@
 import java.util.List;
 import java.util.Random;
 
-/** A writer and a reader on a log that refuses, delays, doubles and loses as a seed says. */
-final class UnreliableLog {
-    final List<LogEntry> taken = new ArrayList<>();
+/** Simulates a writer and a reader on a log that randomly refuses, delays, duplicates and loses appends. */
+final class LogWriterSimulation {
+    final List<LogEntry> accepted = new ArrayList<>();
     final List<LogEntry> read = new ArrayList<>();
 
     private final Random random;
     private final LogWriter writer;
     private final BatchDeduplicator deduplicator = new BatchDeduplicator(Long.MAX_VALUE);
     private final List<LogRecord> records = new ArrayList<>();
-    private final List<LogBatch> onTheWay = new ArrayList<>();
-    private LogBatch unanswered;
+    private final List<LogBatch> inFlight = new ArrayList<>();
+    private LogBatch unansweredAppend;
     private int position;
     private int offered;
     private long now;
 
-    UnreliableLog(Random random, LogWriterSettings settings) {
+    LogWriterSimulation(Random random, LogWriterSettings settings) {
         this.random = random;
         this.writer = new LogWriter(LogStream.CLAIMS, 7, settings, random);
     }
@@ -28,65 +28,65 @@
         now += random.nextInt(60_000);
         switch (random.nextInt(6)) {
             case 0, 1 -> offer();
-            case 2 -> land();
+            case 2 -> deliver();
             case 3 -> answer();
             case 4 -> readUpTo(position + random.nextInt(records.size() - position + 1));
             default -> retract();
         }
-        pump();
+        sendDue();
     }
 
-    void settleAll() {
+    void completeAll() {
         for (int round = 0; round < 200; round++) {
             now += 1_000_000;
-            while (!onTheWay.isEmpty()) {
-                land();
+            while (!inFlight.isEmpty()) {
+                deliver();
             }
-            if (unanswered != null) {
-                LogBatch answered = unanswered;
-                unanswered = null;
+            if (unansweredAppend != null) {
+                LogBatch answered = unansweredAppend;
+                unansweredAppend = null;
                 writer.onAppendResult(answered.sequence(), new AppendResult.Appended(1), now);
             }
             readUpTo(records.size());
-            pump();
+            sendDue();
         }
     }
 
     private void offer() {
         LogEntry entry = LogWriterTest.entry(offered++);
         if (writer.offer(entry, now) == LogWriter.OfferResult.QUEUED) {
-            taken.add(entry);
+            accepted.add(entry);
         }
     }
 
     private void retract() {
-        if (taken.isEmpty()) {
+        if (accepted.isEmpty()) {
             return;
         }
-        LogEntry entry = taken.get(random.nextInt(taken.size()));
+        LogEntry entry = accepted.get(random.nextInt(accepted.size()));
         if (writer.retract(entry)) {
-            taken.removeIf(each -> each == entry);
+            accepted.removeIf(each -> each == entry);
         }
     }
 
-    private void land() {
-        if (!onTheWay.isEmpty()) {
-            LogBatch landed = onTheWay.remove(random.nextInt(onTheWay.size()));
-            records.add(new LogRecord(records.size() + 1, landed));
+    private void deliver() {
+        if (!inFlight.isEmpty()) {
+            LogBatch delivered = inFlight.remove(random.nextInt(inFlight.size()));
+            records.add(new LogRecord(records.size() + 1, delivered));
         }
     }
 
     private void answer() {
-        if (unanswered == null) {
+        if (unansweredAppend == null) {
             return;
         }
-        LogBatch answered = unanswered;
-        unanswered = null;
-        boolean out = onTheWay.stream().anyMatch(batch -> batch == answered);
-        if (out && random.nextBoolean()) {
-            onTheWay.removeIf(batch -> batch == answered);
+        LogBatch answered = unansweredAppend;
+        unansweredAppend = null;
+        boolean inFlightNow = inFlight.stream().anyMatch(batch -> batch == answered);
+        if (inFlightNow && random.nextBoolean()) {
+            inFlight.removeIf(batch -> batch == answered);
             writer.onAppendResult(answered.sequence(), new AppendResult.Refused(), now);
-        } else if (out || random.nextBoolean()) {
+        } else if (inFlightNow || random.nextBoolean()) {
             writer.onAppendResult(answered.sequence(), new AppendResult.Unknown(), now);
         } else {
             writer.onAppendResult(answered.sequence(), new AppendResult.Appended(1), now);
@@ -104,10 +104,10 @@
         writer.onRecords(part, position == records.size());
     }
 
-    private void pump() {
+    private void sendDue() {
         writer.sendDue(now, (stream, batch) -> {
-            unanswered = batch;
-            onTheWay.add(batch);
+            unansweredAppend = batch;
+            inFlight.add(batch);
         });
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/log/LogWriterTest.java
@@ -23,39 +23,39 @@
     private long now = 1_000_000;
 
     /**
-     * A refuelling is entered twice: the append of its claim took effect, the answer was lost, and the writer appended
-     * it again as something new. Cause: no answer was taken for no effect.
+     * Failure: the append of a claim takes effect, its response is lost, and the writer appends it again as a new
+     * batch, so that the claim takes effect twice.
      */
     @Test
-    void aBatchWhoseAnswerIsLostIsNotSentAgainWhenItIsReadBack() {
+    void aBatchWithAnUnknownResultIsNotRetriedWhenItIsReadBack() {
         offer(1);
-        pump();
+        sendDue();
         writer.onAppendResult(1, new AppendResult.Unknown(), now);
         writer.onRecords(List.of(new LogRecord(1, appended.get(0))), true);
-        advance(10 * SETTINGS.readBackMicros());
+        advance(10 * SETTINGS.readBackTimeoutMicros());
 
         assertThat(appended).hasSize(1);
         assertThat(writer.pendingEntries()).isZero();
     }
 
     /**
-     * A claim is lost for good: the append never arrived. And once it is appended again, the first copy turns up after
-     * all, behind the second: a reader that took both would see the claim twice.
+     * Failure: a claim is lost because its append never arrived and isn't retried; or the first copy arrives after the
+     * retry, and a reader applies both.
      */
     @Test
-    void aBatchThatIsAbsentIsAppendedAgainUnderItsOwnSequenceAndReadersTakeOneCopy() {
+    void aBatchThatIsNotInTheLogIsRetriedWithItsSequenceAndReadersApplyOneCopy() {
         offer(1);
-        pump();
+        sendDue();
         writer.onAppendResult(1, new AppendResult.Unknown(), now);
         offer(2);
-        advance(SETTINGS.readBackMicros());
+        advance(SETTINGS.readBackTimeoutMicros());
         assertThat(appended).as("not before a read to the end").hasSize(1);
         writer.onRecords(List.of(), true);
-        pump();
+        sendDue();
         assertThat(appended).hasSize(2);
         assertThat(appended.get(1)).isEqualTo(appended.get(0));
         writer.onAppendResult(1, new AppendResult.Appended(5), now);
-        advance(SETTINGS.intervalMicros());
+        advance(SETTINGS.minSendIntervalMicros());
         assertThat(appended.get(2).sequence()).isEqualTo(2);
 
         BatchDeduplicator reader = new BatchDeduplicator(RETENTION_MICROS);
@@ -65,36 +65,36 @@
     }
 
     @Test
-    void aRefusedEntryCanBeTakenBackAndALostOneCannot() {
+    void aRefusedEntryCanBeRetractedAndOneWithAnUnknownResultCannot() {
         LogEntry refused = offer(1);
-        pump();
+        sendDue();
         assertThat(writer.retract(refused)).as("in flight").isFalse();
         writer.onAppendResult(1, new AppendResult.Refused(), now);
         assertThat(writer.retract(refused)).as("refused").isTrue();
 
-        LogEntry lost = offer(2);
-        advance(SETTINGS.longestBackoffMicros());
+        LogEntry unknown = offer(2);
+        advance(SETTINGS.maxBackoffMicros());
         writer.onAppendResult(1, new AppendResult.Unknown(), now);
-        assertThat(writer.retract(lost)).as("lost").isFalse();
-        advance(SETTINGS.readBackMicros());
+        assertThat(writer.retract(unknown)).as("lost").isFalse();
+        advance(SETTINGS.readBackTimeoutMicros());
         writer.onRecords(List.of(), true);
-        pump();
+        sendDue();
         writer.onAppendResult(1, new AppendResult.Refused(), now);
-        assertThat(writer.retract(lost))
+        assertThat(writer.retract(unknown))
                 .as("its second copy refused, its first still out")
                 .isFalse();
     }
 
     /**
-     * Callers of a depot hang through an outage of the log, each until its own deadline. Cause: a queue that takes what
+     * Failure: callers hang until their deadlines during an outage of the log, because the queue accepts entries that
      * can't be written.
      */
     @ParameterizedTest
     @ValueSource(strings = {"refused", "lost", "silent"})
-    void anOutageIsSaidWithinThePatienceAndItsEndIsNoticed(String kind) {
+    void anOutageIsReportedWithinTheTimeoutAndItsEndIsDetected(String kind) {
         offer(1);
-        pump();
-        for (long waited = 0; waited < SETTINGS.patienceMicros(); waited += 10_000) {
+        sendDue();
+        for (long waited = 0; waited < SETTINGS.unavailableTimeoutMicros(); waited += 10_000) {
             if (!kind.equals("silent")) {
                 writer.onAppendResult(
                         1, kind.equals("lost") ? new AppendResult.Unknown() : new AppendResult.Refused(), now);
@@ -105,13 +105,13 @@
 
         writer.onRecords(List.of(new LogRecord(1, appended.get(0))), true);
         writer.onAppendResult(1, new AppendResult.Appended(1), now);
-        advance(SETTINGS.longestBackoffMicros());
+        advance(SETTINGS.maxBackoffMicros());
         writer.onAppendResult(1, new AppendResult.Appended(1), now);
         assertThat(writer.offer(entry(3), now)).isEqualTo(LogWriter.OfferResult.QUEUED);
     }
 
     @Test
-    void aLogThatCannotBeReadIsSaidAtOnceSinceNothingCouldBeReadBack() {
+    void anUnreadableLogIsReportedAtOnceSinceNothingCanBeReadBack() {
         writer.onReadFailed();
         assertThat(writer.offer(entry(1), now)).isEqualTo(LogWriter.OfferResult.UNAVAILABLE);
         writer.onRecords(List.of(), true);
@@ -119,29 +119,29 @@
     }
 
     @Test
-    void writersThatWereSilentForLongerThanTheLogKeepsRecordsAreForgotten() {
+    void writersThatWereIdleForLongerThanTheLogRetentionAreEvicted() {
         BatchDeduplicator reader = new BatchDeduplicator(1_000);
         for (long other = 0; other < 100; other++) {
             reader.admit(new LogRecord(other + 1, new LogBatch(other, 1, List.of())), other * 100);
         }
-        assertThat(reader.writers()).isEqualTo(11);
+        assertThat(reader.writerCount()).isEqualTo(11);
     }
 
     @Test
-    void afterAnOutageWithNothingLeftToWriteOneEntryTriesTheLog() {
+    void afterAnOutageWithAnEmptyQueueOneEntryProbesTheLog() {
         LogEntry entry = offer(1);
-        pump();
+        sendDue();
         writer.onAppendResult(1, new AppendResult.Refused(), now);
         writer.retract(entry);
         assertThat(writer.isAvailable(now)).isTrue();
-        now += SETTINGS.patienceMicros();
+        now += SETTINGS.unavailableTimeoutMicros();
 
         assertThat(writer.offer(entry(2), now)).isEqualTo(LogWriter.OfferResult.QUEUED);
         assertThat(writer.offer(entry(3), now)).isEqualTo(LogWriter.OfferResult.UNAVAILABLE);
     }
 
     @Test
-    void newWorkMayFillHalfOfTheRoomAndEndsOfWorkTheRest() {
+    void newWorkMayFillHalfOfTheQueueAndOutcomesTheRest() {
         for (int number = 0; number < 4; number++) {
             assertThat(writer.offer(entry(number), now)).isEqualTo(LogWriter.OfferResult.QUEUED);
         }
@@ -153,49 +153,50 @@
     }
 
     @Test
-    void batchesAreBoundedByEntriesAndBytesAndInTheLongRunSpacedByTheInterval() {
-        byte[] large = new byte[SETTINGS.batchBytes()];
+    void batchesAreLimitedInEntriesAndBytesAndSpacedByTheSendInterval() {
+        byte[] large = new byte[SETTINGS.maxBatchBytes()];
         writer.offer(new LogEntry.KeyOutcome(Digest.of("large"), 201, List.of(), large), now);
         for (int number = 1; number <= 3; number++) {
             offer(number);
-            pump();
+            sendDue();
             writer.onAppendResult(number, new AppendResult.Appended(number), now);
         }
         assertThat(appended.get(0).entries()).as("one that is large").hasSize(1);
         offer(4);
-        pump();
+        sendDue();
         assertThat(appended).as("three after a pause, then the interval").hasSize(3);
-        advance(SETTINGS.intervalMicros());
+        advance(SETTINGS.minSendIntervalMicros());
         assertThat(appended).hasSize(4);
         writer.onAppendResult(4, new AppendResult.Appended(4), now);
         offer(5);
         offer(7);
-        pump();
+        sendDue();
         assertThat(appended).as("one more for each interval").hasSize(4);
         offer(6);
-        pump();
+        sendDue();
         assertThat(appended.get(4).entries()).as("a full batch goes at once").hasSize(3);
     }
 
     /**
-     * More writers than the log has appends for: most appends are refused, and claims wait in backoff for seconds.
+     * Failure: with more writers than the log's rate limit allows for, most appends are refused and claims wait in
+     * backoff for seconds.
      */
     @Test
-    void aWriterThatIsRefusedSendsMoreRarelyAndComesBackToItsInterval() {
+    void aRefusedWriterIncreasesItsSendIntervalAndRecovers() {
         assertThat(sentWithin(1_000_000)).isGreaterThan(90);
         for (int refusal = 0; refusal < 4; refusal++) {
             writer.offer(entry(1), now);
-            advance(SETTINGS.longestBackoffMicros());
+            advance(SETTINGS.maxBackoffMicros());
             writer.onAppendResult(appended.get(appended.size() - 1).sequence(), new AppendResult.Refused(), now);
         }
-        advance(SETTINGS.longestBackoffMicros());
+        advance(SETTINGS.maxBackoffMicros());
         acknowledge();
         assertThat(sentWithin(300_000)).isLessThan(8);
         sentWithin(10_000_000);
         assertThat(sentWithin(1_000_000)).isGreaterThan(90);
     }
 
-    /** Returns how many batches go out while entries come all the time and the log takes every one. */
+    /** Returns the number of batches sent while entries are always pending and every append succeeds. */
     private int sentWithin(long micros) {
         int before = appended.size();
         for (long end = now + micros; now < end; advance(1_000)) {
@@ -212,29 +213,29 @@
     }
 
     @Test
-    void refusalsAreRetriedAtDoublingIntervalsThatDifferBetweenWriters() {
+    void refusedAppendsAreRetriedWithExponentialBackoffAndJitter() {
         List<Long> first = retryTimes(new Random(1));
         List<Long> second = retryTimes(new Random(2));
 
         assertThat(first)
                 .isNotEqualTo(second)
-                .allSatisfy(wait -> assertThat(wait).isBetween(10_000L, SETTINGS.longestBackoffMicros()));
-        assertThat(first.get(5)).isGreaterThanOrEqualTo(SETTINGS.longestBackoffMicros() / 2);
+                .allSatisfy(wait -> assertThat(wait).isBetween(10_000L, SETTINGS.maxBackoffMicros()));
+        assertThat(first.get(5)).isGreaterThanOrEqualTo(SETTINGS.maxBackoffMicros() / 2);
     }
 
     /**
-     * Answers are lost, copies arrive late and in any order, appends are refused; a reader that misses an entry, takes
-     * one twice or swaps two would lose, double or reorder claims and their outcomes.
+     * Responses are lost, copies arrive late and in any order, appends are refused. A reader that misses, duplicates or
+     * reorders an entry would lose, duplicate or reorder claims and their outcomes.
      */
     @Property(seed = "21", tries = 400)
-    void everyEntryTakesEffectOnceAndInOrderWhateverBecomesOfAppends(@ForAll long seed) {
-        UnreliableLog log = new UnreliableLog(new Random(seed), SETTINGS);
+    void everyEntryTakesEffectOnceAndInOrderDespiteFailedAppends(@ForAll long seed) {
+        LogWriterSimulation log = new LogWriterSimulation(new Random(seed), SETTINGS);
         for (int step = 0; step < 300; step++) {
             log.step();
         }
-        log.settleAll();
+        log.completeAll();
 
-        assertThat(log.read).isEqualTo(log.taken);
+        assertThat(log.read).isEqualTo(log.accepted);
     }
 
     private List<Long> retryTimes(Random random) {
@@ -263,10 +264,10 @@
 
     private void advance(long micros) {
         now += micros;
-        pump();
+        sendDue();
     }
 
-    private void pump() {
+    private void sendDue() {
         writer.sendDue(now, (stream, batch) -> appended.add(batch));
     }
 
