--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationRefresher.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ConfigurationRefresher.java
@@ -8,28 +8,29 @@
 import org.rattanrudder.core.model.ServiceName;
 
 /**
- * Keeps the configuration readable in the log past its retention: indexes of all revisions, and texts written again.
+ * Keeps the configuration available beyond the log's retention by appending indexes of all revisions and refreshing
+ * texts.
  *
- * <p>Every entry runs it and none is set aside for it. Each waits for a time that it draws, and whoever comes first
- * puts the others off, since they read what it wrote. Two that come at once do no harm: the second index is void, and a
- * refresh changes nothing. The age of a text is counted in indexes, which the log itself holds, so that it doesn't
- * start anew with each process that is replaced.
+ * <p>It runs in every entry; there is no leader. Each entry draws a random time, and the first one to append postpones
+ * the others, since they read its record. Concurrent appends do no harm: the second index is void, and a refresh of a
+ * known revision has no effect. The age of a text is counted in indexes, which are in the log, so that it doesn't start
+ * at zero again with each restarted process.
  */
 public final class ConfigurationRefresher {
-    private static final long NOT_DRAWN = -1;
+    private static final long UNSET = -1;
 
     private final RefresherSettings settings;
     private final RandomGenerator random;
-    private final Map<ServiceName, Long> refreshMicros = new HashMap<>();
-    private long indexesSeen = NOT_DRAWN;
-    private long indexMicros;
-    private long unsettledMicros = NOT_DRAWN;
+    private final Map<ServiceName, Long> nextRefreshMicros = new HashMap<>();
+    private long lastIndexCount = UNSET;
+    private long nextIndexMicros;
+    private long recoveryAtMicros = UNSET;
 
     /**
-     * Starts without any time drawn.
+     * Creates a refresher without any scheduled times.
      *
-     * @param settings how often
-     * @param random draws the times
+     * @param settings the intervals
+     * @param random draws the jitter
      */
     public ConfigurationRefresher(RefresherSettings settings, RandomGenerator random) {
         this.settings = settings;
@@ -37,66 +38,67 @@
     }
 
     /**
-     * Hands over the entries that are due now. To be called only while the log can be read and its end was reached.
+     * Passes on the entries that are due now. Call it only while the log is readable and was read to its end.
      *
-     * @param ledger the state at the log's end
+     * @param ledger the state at the end of the log
      * @param nowMicros the time in microseconds
-     * @param append takes each entry
+     * @param append appends an entry to the log
      */
     public void tick(ConfigurationLedger ledger, long nowMicros, Consumer<LogEntry> append) {
         if (!ledger.isComplete()) {
             recover(ledger, nowMicros, append);
             return;
         }
-        unsettledMicros = NOT_DRAWN;
+        recoveryAtMicros = UNSET;
         if (ledger.lastOffset() == 0) {
             return;
         }
-        if (ledger.indexes() != indexesSeen) {
-            boolean started = indexesSeen == NOT_DRAWN;
-            indexesSeen = ledger.indexes();
-            indexMicros = nowMicros + (started ? 0 : settings.periodMicros()) + jitter();
+        if (ledger.indexCount() != lastIndexCount) {
+            boolean started = lastIndexCount == UNSET;
+            lastIndexCount = ledger.indexCount();
+            nextIndexMicros = nowMicros + (started ? 0 : settings.indexIntervalMicros()) + jitter();
         }
-        if (nowMicros >= indexMicros) {
-            indexMicros = nowMicros + jitter();
-            append.accept(ledger.index());
+        if (nowMicros >= nextIndexMicros) {
+            nextIndexMicros = nowMicros + jitter();
+            append.accept(ledger.nextIndex());
         }
-        ledger.documents().forEach(document -> refresh(document, ledger.indexes(), nowMicros, append));
+        ledger.documents().forEach(document -> refresh(document, ledger.indexCount(), nowMicros, append));
     }
 
-    private void refresh(DocumentRevision document, long indexes, long nowMicros, Consumer<LogEntry> append) {
-        boolean old = indexes - document.textIndex() >= settings.refreshAfterIndexes();
+    private void refresh(DocumentRevision document, long indexCount, long nowMicros, Consumer<LogEntry> append) {
+        boolean old = indexCount - document.textIndexCount() >= settings.refreshAfterIndexes();
         if (!old || document.text().isEmpty()) {
-            refreshMicros.remove(document.service());
+            nextRefreshMicros.remove(document.service());
             return;
         }
-        Long due = refreshMicros.get(document.service());
+        Long due = nextRefreshMicros.get(document.service());
         if (due != null && nowMicros >= due) {
             append.accept(new LogEntry.DocumentRefresh(
                     document.service(), document.revision(), document.text().get()));
         }
         if (due == null || nowMicros >= due) {
-            refreshMicros.put(document.service(), nowMicros + jitter());
+            nextRefreshMicros.put(document.service(), nowMicros + jitter());
         }
     }
 
     /**
-     * Failure: every process that knew the revisions was gone for longer than the log keeps records. Then no index can
-     * hold for anybody, no edit is decided any more, and publishing is refused for good. A settled process that reaches
-     * the log writes an index each period, so after many periods without one there is none, and what this process knows
-     * from its peers becomes the state. The first such index in the log's order holds, for all.
+     * Failure: all processes that had the revisions were down for longer than the log retains records. Then no reader
+     * is complete, no index is valid, no edit is decided, and publishing is refused for good. A complete process that
+     * reaches the log appends an index each interval, so if none has appeared for many intervals, there is no complete
+     * process, and the state that this process got from its peers becomes the configuration. The first such index in
+     * the log's order is valid for all readers.
      */
     private void recover(ConfigurationLedger ledger, long nowMicros, Consumer<LogEntry> append) {
-        if (unsettledMicros == NOT_DRAWN) {
-            unsettledMicros = nowMicros + settings.recoveryMicros() + jitter();
+        if (recoveryAtMicros == UNSET) {
+            recoveryAtMicros = nowMicros + settings.recoveryDelayMicros() + jitter();
         }
-        if (nowMicros >= unsettledMicros) {
-            unsettledMicros = nowMicros + jitter();
-            append.accept(ledger.index());
+        if (nowMicros >= recoveryAtMicros) {
+            recoveryAtMicros = nowMicros + jitter();
+            append.accept(ledger.nextIndex());
         }
     }
 
     private long jitter() {
-        return 1 + random.nextLong(settings.periodMicros() / 2);
+        return 1 + random.nextLong(settings.indexIntervalMicros() / 2);
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/DocumentChange.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/DocumentChange.java
@@ -3,7 +3,7 @@
 import org.rattanrudder.core.document.ServiceDocument;
 import org.rattanrudder.core.model.ServiceName;
 
-/** What a newly accepted revision means at this process. */
+/** The effect of a newly accepted revision at this process. */
 public sealed interface DocumentChange {
     /** Returns the service that changed. */
     ServiceName service();
@@ -12,7 +12,7 @@
     long revision();
 
     /**
-     * The document is in force here from now on.
+     * The document is now in force here.
      *
      * @param service the service
      * @param revision its revision
@@ -21,17 +21,17 @@
     record InForce(ServiceName service, long revision, ServiceDocument document) implements DocumentChange {}
 
     /**
-     * The accepted text can't be read by this release; the document in force before stays in force here.
+     * This release can't read the accepted text; the previous document stays in force here.
      *
      * @param service the service
      * @param revision the accepted revision
      * @param reason line, column and what was expected, on one line
      */
     record Unreadable(ServiceName service, long revision, String reason) implements DocumentChange {
-        /** The name under which every process notes it. */
+        /** The name of the log event that every process writes for it. */
         public static final String EVENT = "document_unreadable";
 
-        /** Returns the fields of the note: names and values in turn. */
+        /** Returns the fields of the log event, as alternating names and values. */
         public String[] fields() {
             return new String[] {"service", service.value(), "revision", Long.toString(revision), "reason", reason};
         }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/DocumentRevision.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/DocumentRevision.java
@@ -8,7 +8,8 @@
  *
  * @param service the service
  * @param revision the log offset of the edit that was accepted
- * @param text the document as written; empty while only the revision is known, until a refresh brings the text
- * @param textIndex how many indexes had held when the log last repeated the text: its age, free of any clock
+ * @param text the document as written; empty while only the revision is known, until the text is read from a refresh
+ * @param textIndexCount the number of valid indexes when the text was last read from the log, which gives its age
+ *     without a clock
  */
-public record DocumentRevision(ServiceName service, long revision, Optional<String> text, long textIndex) {}
+public record DocumentRevision(ServiceName service, long revision, Optional<String> text, long textIndexCount) {}
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/EditDecision.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/EditDecision.java
@@ -4,21 +4,21 @@
 import org.rattanrudder.core.model.ServiceName;
 
 /**
- * What the log's order says of one edit.
+ * The decision on one edit by the order of the log.
  *
  * @param edit the edit
- * @param offset its place
+ * @param offset its offset
  * @param writer the incarnation that wrote the batch
- * @param verdict whether it holds
+ * @param verdict whether it is accepted
  */
 public record EditDecision(LogEntry.DocumentEdit edit, long offset, long writer, Verdict verdict) {
-    /** Whether an edit holds. */
+    /** Whether an edit is accepted. */
     public enum Verdict {
-        /** It is the document in force. */
+        /** The edit is the document in force. */
         ACCEPTED,
-        /** Its base was not the revision in force at its place; it never takes effect. */
+        /** Its base was not the revision in force at its offset; it never takes effect. */
         VOID,
-        /** This reader lacks records before it and can't tell; the next index will. */
+        /** This reader lacks earlier records and can't decide it; the next valid index will. */
         UNDECIDED
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/PeerConfigurationExchange.java
@@ -7,66 +7,67 @@
 import org.rattanrudder.core.log.LogRecord;
 
 /**
- * Exchanges configuration between processes while one of them can't learn it from the log.
+ * Exchanges configuration between processes while one of them can't read it from the log.
  *
- * <p>What a peer holds was accepted by the log, so it can be taken without asking which of the two is right: only a
- * higher revision replaces one in force. When the log comes back, its records below what the peer had read are known
- * already, and those above are decided as everywhere.
+ * <p>Every revision that a peer has was accepted in the log, so conflicts need no resolution: a received revision
+ * replaces the one in force only if it is higher. When the log becomes readable again, records up to the offset that
+ * the peer had read are skipped, and later ones are decided as usual.
  */
 public final class PeerConfigurationExchange {
-    /** The least time between two questions, in microseconds. */
-    static final long ASK_MICROS = 1_000_000;
+    /** The minimum time between two requests, in microseconds. */
+    static final long MIN_REQUEST_INTERVAL_MICROS = 1_000_000;
 
     private final ConfigurationLedger ledger;
     private boolean logReadable;
-    private long nextAskMicros;
+    private long nextRequestMicros;
 
-    /** Serves and fills this ledger; until the first read the log counts as not readable. */
+    /** Creates an exchange for a ledger. The log counts as unreadable until its first read. */
     public PeerConfigurationExchange(ConfigurationLedger ledger) {
         this.ledger = ledger;
     }
 
-    /** Takes note that the configuration stream was read. */
+    /** Records that the configuration stream was read. */
     public void onLogRead() {
         logReadable = true;
     }
 
-    /** Takes note that the configuration stream couldn't be read. */
+    /** Records that the configuration stream couldn't be read. */
     public void onLogReadFailed() {
         logReadable = false;
     }
 
-    /** Returns whether the log alone doesn't tell this process what is in force. */
+    /** Returns whether this process can't determine the documents in force from the log alone. */
     public boolean needsPeers() {
         return !logReadable || !ledger.isComplete();
     }
 
     /**
-     * Returns the question to a peer that has just linked, if there is one: a process that starts during an outage
-     * knows nothing, and its peer may.
+     * Returns the request to send to a peer whose link has just opened, if any: a process that starts during an outage
+     * of the log has no configuration, and its peer may have it.
      */
     public Optional<Frame> requestOnLinkOpened(long nowMicros) {
-        return needsPeers() && ledger.lastOffset() == 0 ? ask(nowMicros) : Optional.empty();
+        return needsPeers() && ledger.lastOffset() == 0 ? newRequest(nowMicros) : Optional.empty();
     }
 
     /**
-     * Returns the question to a peer whose heartbeat shows newer revisions, if there is one.
+     * Returns the request to send to a peer whose heartbeat lists newer revisions, if any.
      *
-     * @param revisions what is in force at the peer
+     * @param revisions the revisions in force at the peer
      * @param nowMicros the time in microseconds
      */
     public Optional<Frame> requestOnHeartbeat(List<Frame.ServiceRevision> revisions, long nowMicros) {
-        if (!needsPeers() || nowMicros < nextAskMicros) {
+        if (!needsPeers() || nowMicros < nextRequestMicros) {
             return Optional.empty();
         }
         boolean newer = revisions.stream().anyMatch(each -> each.revision() > ledger.revision(each.service()));
-        return newer ? ask(nowMicros) : Optional.empty();
+        return newer ? newRequest(nowMicros) : Optional.empty();
     }
 
     /**
-     * Returns the answer to a peer's question, a frame for each document, so that no frame outgrows the link's limit.
+     * Returns the response to a peer's request, with one frame for each document, so that no frame exceeds the link's
+     * size limit.
      *
-     * @param request the question
+     * @param request the request
      */
     public List<Frame> answer(Frame.ConfigurationRequest request) {
         List<Frame> frames = new ArrayList<>();
@@ -79,8 +80,8 @@
         return frames;
     }
 
-    private Optional<Frame> ask(long nowMicros) {
-        nextAskMicros = nowMicros + ASK_MICROS;
+    private Optional<Frame> newRequest(long nowMicros) {
+        nextRequestMicros = nowMicros + MIN_REQUEST_INTERVAL_MICROS;
         return Optional.of(new Frame.ConfigurationRequest(ledger.lastOffset()));
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/RefresherSettings.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/RefresherSettings.java
@@ -1,25 +1,29 @@
 package org.rattanrudder.core.configuration;
 
 /**
- * How often the configuration stream is written anew to outlive the log's retention.
+ * How often the configuration is appended to the log again so that it outlives the log's retention.
  *
- * <p>A text is written again after between {@code refreshAfterIndexes} and twice as many periods, so the log must keep
- * records for longer than three times that and the longest outage: nine hours and the outage by default.
+ * <p>A text is refreshed after one to two times {@code refreshAfterIndexes} index intervals. The log must therefore
+ * retain records for more than three times {@code refreshAfterIndexes} intervals plus the longest outage: nine hours
+ * plus the outage by default.
  *
- * @param periodMicros the time after which an index follows the one before, in microseconds
- * @param refreshAfterIndexes after how many indexes a text is written again
- * @param recoveryMicros after how long without any index a process that lacks records writes what it knows
+ * @param indexIntervalMicros the time between two indexes, in microseconds
+ * @param refreshAfterIndexes after how many indexes a text is refreshed
+ * @param recoveryDelayMicros after how long without a valid index, in microseconds, an incomplete process appends an
+ *     index of the revisions that it has
  */
-public record RefresherSettings(long periodMicros, int refreshAfterIndexes, long recoveryMicros) {
+public record RefresherSettings(long indexIntervalMicros, int refreshAfterIndexes, long recoveryDelayMicros) {
     private static final long MINUTE_MICROS = 60_000_000;
 
-    /** An index each ten minutes, a text each three hours or so. */
+    /** An index every ten minutes and a refresh of each text about every three hours. */
     public static final RefresherSettings DEFAULT = new RefresherSettings(10 * MINUTE_MICROS, 18, 60 * MINUTE_MICROS);
 
-    /** Refuses bounds that aren't positive with an {@link IllegalArgumentException}. */
+    /** Throws an {@link IllegalArgumentException} if a value is out of range. */
     public RefresherSettings {
-        if (periodMicros < 2 || refreshAfterIndexes < 1 || recoveryMicros < periodMicros) {
-            throw new IllegalArgumentException("upkeep needs a period, a count and a longer time for recovery");
+        if (indexIntervalMicros < 2 || refreshAfterIndexes < 1 || recoveryDelayMicros < indexIntervalMicros) {
+            throw new IllegalArgumentException(
+                    "the index interval must be at least 2, the index count positive, and the recovery delay at least"
+                            + " as long as the index interval");
         }
     }
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ServiceDocuments.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/ServiceDocuments.java
@@ -13,31 +13,33 @@
 import org.rattanrudder.core.model.ServiceName;
 
 /**
- * The documents that a process works by: the newest accepted revision of each service that its release can read.
+ * Holds the documents in force at this process: of each service, the newest accepted revision that this release can
+ * read.
  *
- * <p>What is accepted is the ledger's matter and the same everywhere. During a rolling upgrade an older release may be
- * unable to read an accepted text; it keeps the revision before, says so, and its heartbeats name that older revision.
+ * <p>The ledger decides which revisions are accepted, identically at every process. During a rolling upgrade, an older
+ * release may be unable to read an accepted text. It keeps the previous revision in force, reports the unreadable one,
+ * and lists the previous revision in its heartbeats.
  */
 public final class ServiceDocuments {
     private final DocumentReader reader;
     private final ConfigurationLedger ledger = new ConfigurationLedger();
     private final Map<ServiceName, DocumentChange.InForce> inForce = new HashMap<>();
-    private final Map<ServiceName, Long> seen = new HashMap<>();
+    private final Map<ServiceName, Long> lastReadRevisions = new HashMap<>();
 
     /**
-     * Starts without any document.
+     * Creates an instance without documents.
      *
-     * @param reader reads a document's text
+     * @param reader parses and checks a document's text
      */
     public ServiceDocuments(DocumentReader reader) {
         this.reader = reader;
     }
 
     /**
-     * Takes records from the log, or from a peer while the log can't be read.
+     * Applies records from the log, or from a peer while the log can't be read.
      *
      * @param records in the order of their offsets
-     * @return what became of the edits in them
+     * @return the decisions on the edits in them
      */
     public List<EditDecision> apply(List<LogRecord> records) {
         List<EditDecision> decisions = new ArrayList<>();
@@ -48,17 +50,18 @@
     }
 
     /**
-     * Reads the texts that were accepted since the last call; a process that catches up reads only the newest of each.
+     * Reads the texts that were accepted since the last call; while catching up, only the newest text of each service
+     * is read.
      *
      * @return a change for each service whose accepted revision is new here
      */
     public List<DocumentChange> update() {
         List<DocumentChange> changes = new ArrayList<>();
         for (DocumentRevision each : ledger.documents()) {
-            if (each.text().isEmpty() || seen.getOrDefault(each.service(), 0L) >= each.revision()) {
+            if (each.text().isEmpty() || lastReadRevisions.getOrDefault(each.service(), 0L) >= each.revision()) {
                 continue;
             }
-            seen.put(each.service(), each.revision());
+            lastReadRevisions.put(each.service(), each.revision());
             DocumentChange change =
                     read(each.service(), each.revision(), each.text().get());
             if (change instanceof DocumentChange.InForce document) {
@@ -74,24 +77,24 @@
         return Optional.ofNullable(inForce.get(service)).map(DocumentChange.InForce::document);
     }
 
-    /** Returns all documents in force here, by the services' names. */
+    /** Returns all documents in force here, sorted by service name. */
     public List<ServiceDocument> documents() {
-        return sorted().stream().map(DocumentChange.InForce::document).toList();
+        return inForceByName().stream().map(DocumentChange.InForce::document).toList();
     }
 
-    /** Returns the revision of each document in force here, as heartbeats carry it. */
+    /** Returns the revision of each document in force here, for heartbeats. */
     public List<Frame.ServiceRevision> revisions() {
-        return sorted().stream()
+        return inForceByName().stream()
                 .map(each -> new Frame.ServiceRevision(each.service(), each.revision()))
                 .toList();
     }
 
-    /** Returns the fold of the log that decides which revisions are accepted. */
+    /** Returns the ledger that decides which revisions are accepted. */
     public ConfigurationLedger ledger() {
         return ledger;
     }
 
-    private List<DocumentChange.InForce> sorted() {
+    private List<DocumentChange.InForce> inForceByName() {
         return inForce.values().stream()
                 .sorted(Comparator.comparing(each -> each.service().value()))
                 .toList();
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/configuration/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Which document of each service is in force, decided by the order of the platform's log alone.
+ * Determines which document of each service is in force, solely by the order of the platform's log.
  *
- * <p>Front class: {@link org.rattanrudder.core.configuration.ServiceDocuments}.
+ * <p>Main class: {@link org.rattanrudder.core.configuration.ServiceDocuments}.
  */
 package org.rattanrudder.core.configuration;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ConfigurationBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ConfigurationBench.java
@@ -14,13 +14,13 @@
 import org.rattanrudder.core.model.ServiceName;
 
 /**
- * What a day of configuration costs a process: the fold of each record, the bytes that it reads and keeps, and the time
- * in which a late starter folds the whole day.
+ * Measures what a day of configuration records costs a process: the time to apply a record, the bytes read and kept,
+ * and the time in which a process that starts late applies the whole day.
  */
 public final class ConfigurationBench {
-    private static final int WARM_UP = 5;
-    private static final int RUNS = 9;
-    private static final int SECONDS_A_DAY = 86_400;
+    private static final int WARM_UP_RUNS = 5;
+    private static final int MEASURED_RUNS = 9;
+    private static final int SECONDS_PER_DAY = 86_400;
 
     private ConfigurationBench() {}
 
@@ -39,7 +39,7 @@
         String text = document(customers);
         List<LogRecord> day = day(edits, services, text);
         long best = Long.MAX_VALUE;
-        for (int run = 0; run < WARM_UP + RUNS; run++) {
+        for (int run = 0; run < WARM_UP_RUNS + MEASURED_RUNS; run++) {
             long began = System.nanoTime();
             ConfigurationLedger ledger = new ConfigurationLedger();
             day.forEach(ledger::apply);
@@ -47,10 +47,10 @@
             if (ledger.documents().size() != services) {
                 throw new IllegalStateException("the fold lost a service");
             }
-            best = run < WARM_UP ? best : Math.min(best, took);
+            best = run < WARM_UP_RUNS ? best : Math.min(best, took);
         }
         int bytes = text.getBytes(StandardCharsets.UTF_8).length;
-        int zipped = zipped(text);
+        int gzipBytes = gzipBytes(text);
         long texts = day.stream().filter(ConfigurationBench::hasText).count();
         System.out.printf(
                 "| %d | %d | %d | %d | %d | %d | %d | %d | %.1f | %d |%n",
@@ -58,9 +58,9 @@
                 services,
                 customers,
                 bytes,
-                zipped,
-                texts * bytes / SECONDS_A_DAY,
-                texts * zipped / SECONDS_A_DAY,
+                gzipBytes,
+                texts * bytes / SECONDS_PER_DAY,
+                texts * gzipBytes / SECONDS_PER_DAY,
                 best / day.size(),
                 best / 1e6,
                 (long) services * bytes / 1000);
@@ -70,7 +70,10 @@
         return !(record.batch().entries().get(0) instanceof LogEntry.RevisionIndex);
     }
 
-    /** A day of edits, each from the revision in force, 144 indexes and eight refreshes a service. */
+    /**
+     * Returns the records of a day: edits, each based on the revision in force, 144 indexes, and eight refreshes per
+     * service.
+     */
     private static List<LogRecord> day(int edits, int services, String text) {
         List<LogRecord> day = new ArrayList<>();
         ConfigurationLedger ledger = new ConfigurationLedger();
@@ -83,7 +86,7 @@
                 add(day, ledger, new LogEntry.DocumentRefresh(service, ledger.revision(service), text));
             }
             if (edit % indexEvery == 0) {
-                add(day, ledger, ledger.index());
+                add(day, ledger, ledger.nextIndex());
             }
         }
         return day;
@@ -95,7 +98,7 @@
         day.add(record);
     }
 
-    /** A text with so many customers, each with one credential digest. */
+    /** Returns a document text with the given number of customers, each with one credential digest. */
     private static String document(int customers) {
         StringBuilder text =
                 new StringBuilder("{\n  // a service\n  \"service\": \"palivo-llm\",\n  \"customers\": [\n");
@@ -110,7 +113,7 @@
         return text.append("  ]\n}\n").toString();
     }
 
-    private static int zipped(String text) throws IOException {
+    private static int gzipBytes(String text) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (GZIPOutputStream stream = new GZIPOutputStream(bytes)) {
             stream.write(text.getBytes(StandardCharsets.UTF_8));
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationLedgerTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationLedgerTest.java
@@ -31,7 +31,7 @@
 
     @ParameterizedTest(name = "an edit {0} is {2}")
     @MethodSource("baseAndVerdict")
-    void anEditHoldsOnlyFromTheRevisionInForce(String description, long base, Verdict verdict) {
+    void anEditIsAcceptedOnlyIfItsBaseIsTheRevisionInForce(String description, long base, Verdict verdict) {
         ledger.apply(record(1, edit(0, "first")));
         ledger.apply(record(2, edit(1, "second")));
         ledger.apply(record(3, edit(1, "too late")));
@@ -42,8 +42,8 @@
 
     @Test
     void aRefreshByALaggingProcessDoesNotRevertANewerEdit() {
-        // An operator sees its accepted change undone an hour later. A process that had not yet read the edit appended
-        // the older document again to keep it alive, behind the edit; readers took the later place for the newer text.
+        // Failure: an accepted edit is reverted. A process that had not yet read the edit refreshes the older document,
+        // and readers take the later offset for the newer text.
         ledger.apply(record(1, edit(0, "old")));
         ledger.apply(record(2, edit(1, "new")));
         ledger.apply(record(3, refresh(1, "old")));
@@ -51,9 +51,9 @@
     }
 
     @Test
-    void aReaderThatStartsBehindTheFirstRecordsAcceptsNothingByALaggingRefresh() {
-        // Two operators' commands name different revisions in force, for good. A process replaced after retention had
-        // dropped edits 1 and 2 read the refresh of revision 1 first, and then accepted an edit from 1, void elsewhere.
+    void aReaderThatMissedTheFirstRecordsDecidesNoEditFromALaggingRefresh() {
+        // Failure: readers diverge permanently. A process that starts after retention dropped edits 1 and 2 reads the
+        // refresh of revision 1 first and then accepts an edit based on 1, which is void at all other readers.
         ConfigurationLedger late = new ConfigurationLedger();
         List<LogRecord> log = List.of(
                 record(1, edit(0, "old")),
@@ -73,9 +73,9 @@
     }
 
     @Test
-    void anIndexThatAnEditOvertookIsVoid() {
-        // A replaced process serves by an old document though all others moved on. The index that it began with was
-        // written by a process which had not read the edit that got into the log just before it.
+    void anIndexThatDoesNotFollowTheRecordItNamesIsVoid() {
+        // Failure: a restarted process uses an old document. It starts from an index whose writer had not read the edit
+        // that was appended just before the index.
         ConfigurationLedger late = new ConfigurationLedger();
         late.apply(record(7, edit(3, "new")));
         late.apply(record(8, new LogEntry.RevisionIndex(6, List.of(new LogEntry.Revision(PALIVO, 3)))));
@@ -86,9 +86,10 @@
     }
 
     @Test
-    void aProcessStartedDuringAnOutageTakesAPeersStateAndGoesOnInTheLog() {
-        // A companion replaced while the log is down refuses every request, or after the outage falls back to what the
-        // oldest record kept says. It takes its peer's state, and afterwards the log's records replay from the start.
+    void aProcessStartedDuringALogOutageUsesAPeersStateAndThenFollowsTheLog() {
+        // Failure: a companion that is restarted during an outage of the log refuses every request, or falls back to
+        // the oldest retained record after the outage. It must use its peer's state, and then replay the log from the
+        // start.
         List<LogRecord> log = List.of(
                 record(1, edit(0, "one")),
                 record(2, edit(1, "two")),
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationRefresherTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ConfigurationRefresherTest.java
@@ -16,36 +16,38 @@
 import org.rattanrudder.core.log.LogRecord;
 import org.rattanrudder.core.model.ServiceName;
 
-/** Entries that keep the configuration alive in a log that forgets, through restarts, edits and outages. */
-class ConfigurationUpkeepTest {
-    private static final long MINUTE = 60_000_000;
-    private static final long HOUR = 60 * MINUTE;
+/**
+ * Simulates entries that refresh the configuration in a log with limited retention, through restarts, edits and
+ * outages.
+ */
+class ConfigurationRefresherTest {
+    private static final long MINUTE_MICROS = 60_000_000;
+    private static final long HOUR_MICROS = 60 * MINUTE_MICROS;
     private static final RefresherSettings SETTINGS = RefresherSettings.DEFAULT;
 
-    /** What the log must keep by the settings: thrice the age of a text, and an outage of an hour. */
-    private static final long RETENTION = 10 * HOUR;
+    /** The retention that the settings require: three times the maximum age of a text, plus a one-hour outage. */
+    private static final long LOG_RETENTION_MICROS = 10 * HOUR_MICROS;
 
     private final Random random = new Random(3);
-    private final NaiveConfiguration log = new NaiveConfiguration();
+    private final ReferenceConfiguration log = new ReferenceConfiguration();
     private final List<Long> times = new ArrayList<>();
     private final List<Entry> entries = new ArrayList<>();
     private final Map<Class<?>, Integer> written = new HashMap<>();
-    private int first = 1;
+    private int firstRetained = 1;
     private long now;
     private boolean logDown;
 
     @Test
-    void manyEntriesWriteLittleMoreThanOneWould() {
-        // The log's appends go to upkeep when a hundred entries each write every document anew. Whoever comes first
-        // puts
-        // the others off, since they read what it wrote.
+    void manyEntriesAppendLittleMoreThanASingleOne() {
+        // Failure: a hundred entries each refresh every document and use up the log's append rate. The first one to
+        // append must postpone the others.
         for (int count = 0; count < 100; count++) {
             entries.add(new Entry());
         }
         for (int service = 0; service < 60; service++) {
             append(List.of(new LogEntry.DocumentEdit(new ServiceName("service-" + service), 0, "text")));
         }
-        pass(24 * HOUR);
+        advance(24 * HOUR_MICROS);
         assertThat(written.get(LogEntry.RevisionIndex.class)).isBetween(90, 170);
         assertThat(written.get(LogEntry.DocumentRefresh.class)).isBetween(60 * 5, 60 * 9);
     }
@@ -63,60 +65,61 @@
             logDown = random.nextInt(8) == 0;
             if (!logDown && random.nextInt(6) == 0) {
                 ServiceName service = services.get(random.nextInt(2));
-                append(List.of(new LogEntry.DocumentEdit(service, log.revisionAt(log.end(), service), "edit" + hour)));
+                append(List.of(
+                        new LogEntry.DocumentEdit(service, log.revisionAt(log.lastOffset(), service), "edit" + hour)));
             }
             if (random.nextInt(3) == 0) {
                 entries.set(random.nextInt(entryCount), new Entry());
             }
-            pass(HOUR);
+            advance(HOUR_MICROS);
         }
         logDown = false;
         entries.add(new Entry());
-        pass(2 * MINUTE);
+        advance(2 * MINUTE_MICROS);
         for (Entry each : entries) {
             assertThat(each.ledger.isComplete()).isTrue();
             for (ServiceName service : services) {
                 DocumentRevision document = each.ledger.document(service).orElseThrow();
-                assertThat(document.revision()).isEqualTo(log.revisionAt(log.end(), service));
+                assertThat(document.revision()).isEqualTo(log.revisionAt(log.lastOffset(), service));
                 assertThat(document.text()).hasValue(log.text(document.revision()));
             }
         }
     }
 
     @Test
-    void afterTheLogForgotAllWhileNobodyWroteItTheEntriesAgreeOnWhatPeersHold() {
-        // Publishing is refused for good after a long silence. All records were dropped while no entry ran, so no index
-        // holds for anybody, and each waits for another to write one.
+    void afterAllRecordsWereDroppedTheEntriesAgreeOnThePeersConfiguration() {
+        // Failure: publishing is refused permanently. All records were dropped while no entry ran, so no index is valid
+        // and each entry waits for another to write one.
         ServiceName service = new ServiceName("palivo-llm");
         append(List.of(new LogEntry.DocumentEdit(service, 0, "kept by a companion")));
         Entry companion = new Entry();
         companion.tick();
-        now += 2 * RETENTION;
+        now += 2 * LOG_RETENTION_MICROS;
         append(List.of(new LogEntry.DocumentEdit(service, 0, "void")));
-        forget();
+        applyRetention();
         Entry one = new Entry();
         Entry other = new Entry();
         entries.addAll(List.of(one, other));
         companion.ledger.snapshot().forEach(one.ledger::apply);
-        pass(3 * HOUR);
+        advance(3 * HOUR_MICROS);
         for (Entry each : entries) {
             assertThat(each.ledger.isComplete()).isTrue();
             assertThat(each.ledger.revision(service)).isEqualTo(1);
         }
     }
 
-    private void pass(long micros) {
+    private void advance(long micros) {
         long end = now + micros;
         while (now < end) {
-            now += MINUTE / 6;
-            forget();
+            now += MINUTE_MICROS / 6;
+            applyRetention();
             entries.forEach(Entry::tick);
         }
     }
 
-    private void forget() {
-        while (first <= times.size() && times.get(first - 1) < now - RETENTION) {
-            first++;
+    private void applyRetention() {
+        while (firstRetained <= times.size() && times.get(firstRetained - 1) < now - LOG_RETENTION_MICROS) {
+            firstRetained++;
         }
     }
 
@@ -128,18 +131,18 @@
 
     private final class Entry {
         private final ConfigurationLedger ledger = new ConfigurationLedger();
-        private final ConfigurationRefresher upkeep = new ConfigurationRefresher(SETTINGS, random);
+        private final ConfigurationRefresher refresher = new ConfigurationRefresher(SETTINGS, random);
         private int next = 1;
 
         void tick() {
             if (logDown) {
                 return;
             }
-            for (next = Math.max(next, first); next <= log.end(); next++) {
+            for (next = Math.max(next, firstRetained); next <= log.lastOffset(); next++) {
                 LogRecord record = log.record(next);
                 ledger.apply(record);
             }
-            upkeep.tick(ledger, now, entry -> append(List.of(entry)));
+            refresher.tick(ledger, now, entry -> append(List.of(entry)));
         }
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ReferenceConfiguration.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ReferenceConfiguration.java
@@ -9,8 +9,8 @@
 import org.rattanrudder.core.log.LogRecord;
 import org.rattanrudder.core.model.ServiceName;
 
-/** The rule as a sequential program over a log that is never cut: compare-and-set on a plain map of revisions. */
-final class NaiveConfiguration {
+/** A reference implementation on a log without retention: compare-and-set on a map of revisions. */
+final class ReferenceConfiguration {
     private final List<LogRecord> log = new ArrayList<>();
     private final List<Map<String, Long>> revisionsAt = new ArrayList<>(List.of(Map.of()));
     private final Map<Long, String> texts = new TreeMap<>();
@@ -31,7 +31,7 @@
         return record;
     }
 
-    int end() {
+    int lastOffset() {
         return log.size();
     }
 
@@ -51,7 +51,7 @@
         return texts.get(revision);
     }
 
-    /** What a process that had read up to an offset would write as an index. */
+    /** Returns the index that a process which has read up to an offset would append. */
     LogEntry.RevisionIndex indexAt(long offset) {
         return new LogEntry.RevisionIndex(
                 offset,
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ServiceDocumentsTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/configuration/ServiceDocumentsTest.java
@@ -20,9 +20,9 @@
     static final ServiceName PALIVO = new ServiceName("palivo-llm");
 
     @Test
-    void anAcceptedTextThatAnOlderReleaseCannotReadLeavesTheDocumentBeforeInForceThere() {
-        // During a rolling upgrade the older processes would hold an edit void that the newer ones accepted, and from
-        // then on accept different edits for good. Both accept it; the older release keeps serving by the one before.
+    void anOlderReleaseThatCannotReadAnAcceptedTextKeepsThePreviousDocument() {
+        // Failure: readers diverge permanently during a rolling upgrade, because older processes hold an edit void that
+        // newer ones accept. Both must accept it; the older release keeps the previous document in force.
         ServiceDocuments older = new ServiceDocuments(text -> reading(text, text.startsWith("new")));
         ServiceDocuments newer = new ServiceDocuments(text -> reading(text, false));
         List<LogRecord> log = List.of(edit(1, 0, "old"), edit(2, 1, "new field"), edit(3, 2, "old again"));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aProcessThatCatchesUpReadsOnlyTheNewestTextOfEachService() {
+    void whileCatchingUpOnlyTheNewestTextOfEachServiceIsRead() {
         int[] readings = {0};
         ServiceDocuments documents = new ServiceDocuments(text -> {
             readings[0]++;
