--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/document/CacheSettings.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/document/CacheSettings.java
@@ -1,19 +1,19 @@
 package org.rattanrudder.core.document;
 
 /**
- * How context is cut, kept and moved.
+ * How contexts are split into blocks, cached and transferred.
  *
- * @param favour the outcome that wins where the two differ
- * @param pieceTokens tokens in one block
- * @param bytesPerToken size of one token's KV cache
- * @param prefillTokensPerSecond how fast an engine recomputes, until measured
+ * @param favour the objective that takes precedence where the two conflict
+ * @param pieceTokens the number of tokens in one block
+ * @param bytesPerToken the size of one token's KV cache
+ * @param prefillTokensPerSecond the rate at which an engine recomputes context, used until it is measured
  */
 public record CacheSettings(Favour favour, int pieceTokens, int bytesPerToken, long prefillTokensPerSecond) {
-    /** The outcome that a team weighs most. */
+    /** The objective that a team gives precedence. */
     public enum Favour {
-        /** Time to the first token. */
+        /** A short time to the first token. */
         FIRST_TOKEN,
-        /** The share of context recomputed. */
+        /** A small share of recomputed context. */
         RECOMPUTE
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/document/CustomerSettings.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/document/CustomerSettings.java
@@ -8,10 +8,10 @@
 /**
  * One customer of a service.
  *
- * @param name its name; it scopes every cached block
+ * @param name its name, which is part of the key of every cached block
  * @param credentials SHA-256 digests of its bearer credentials
- * @param share its weight against other customers when targets are scarce, from 1
- * @param requestsPerSecond its limit over all entries; 0 for none
+ * @param share its weight relative to other customers when targets are overloaded; at least 1
+ * @param requestsPerSecond its rate limit over all entries; 0 for none
  * @param classes the request classes it may use; empty for all
  */
 public record CustomerSettings(
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/document/DocumentReader.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/document/DocumentReader.java
@@ -1,12 +1,12 @@
 package org.rattanrudder.core.document;
 
-/** Reads a document's text; the daemon passes in the parser, so that the core needs none. */
+/** Parses a document's text. The daemon supplies the parser, so that the core doesn't depend on one. */
 @FunctionalInterface
 public interface DocumentReader {
-    /** Reads the text and checks it. */
+    /** Parses and checks the text. */
     Reading read(String text);
 
-    /** What came of reading a document. */
+    /** The result of reading a document. */
     sealed interface Reading {}
 
     /**
@@ -17,7 +17,7 @@
     record Valid(ServiceDocument document) implements Reading {}
 
     /**
-     * The text is no valid document for this release.
+     * The text is not a valid document for this release.
      *
      * @param reason line, column and what was expected, on one line
      */
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/document/ServiceDocument.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/document/ServiceDocument.java
@@ -8,18 +8,18 @@
 import org.rattanrudder.core.model.TargetName;
 
 /**
- * Everything that a team says about its service, with the defaults filled in.
+ * The configuration of one service, as written by its team and with defaults filled in.
  *
- * @param service the service's name: what callers give as {@code model} or in the path
+ * @param service the service's name: callers give it as {@code model} or in the path
  * @param kind whether it serves prompts or plain calls
  * @param model the model to serve; present exactly for {@link ServiceKind#PROMPT}
  * @param targets the back ends, at least one
  * @param stores the KV cache stores; empty for plain services
- * @param customers who may call
+ * @param customers the customers that may call the service
  * @param classes the request classes, at least one; the first is the default
- * @param calls how plain calls are treated, the first match holds
- * @param cache how context is kept and moved
- * @param limits bounds on requests and queues
+ * @param calls the rules for plain calls; the first match applies
+ * @param cache how contexts are cached and transferred
+ * @param limits limits on requests and queues
  */
 public record ServiceDocument(
         ServiceName service,
@@ -41,7 +41,7 @@
         calls = List.copyOf(calls);
     }
 
-    /** Returns the customer with this credential's SHA-256 digest. */
+    /** Returns the customer that has a credential with this SHA-256 digest. */
     public Optional<CustomerSettings> customerByCredential(Digest credential) {
         return customers.stream()
                 .filter(customer -> customer.credentials().contains(credential))
@@ -65,7 +65,7 @@
         return classes.stream().filter(each -> each.name().equals(name)).findFirst();
     }
 
-    /** Returns whether the call may be repeated without harm. Reads may, where no rule says otherwise. */
+    /** Returns whether a call may be retried safely. GET, HEAD and OPTIONS may, unless a rule says otherwise. */
     public boolean isIdempotent(String method, String path) {
         return calls.stream()
                 .filter(rule -> rule.matches(method, path))
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/document/ServiceKind.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/document/ServiceKind.java
@@ -1,9 +1,9 @@
 package org.rattanrudder.core.document;
 
-/** What a service serves. */
+/** The kind of calls that a service handles. */
 public enum ServiceKind {
-    /** Chat completions by model engines. */
+    /** Chat completions, served by model engines. */
     PROMPT,
-    /** Any HTTP call, passed on to plain services. */
+    /** Any HTTP calls, forwarded to plain services. */
     PLAIN
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/document/TargetSettings.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/document/TargetSettings.java
@@ -4,16 +4,16 @@
 import org.rattanrudder.core.model.TargetName;
 
 /**
- * One back end and the companion that holds it.
+ * One back end and the companion that is responsible for it.
  *
  * @param name its name, unique in the document
- * @param address where the engine or plain service listens (HTTP)
- * @param companion where its companion listens for entries
- * @param failureDomain the failure domain it stands in
- * @param checksFencing whether it refuses orders with an old fencing number itself
- * @param draining whether the operator wants it to get no new work
- * @param linkBytesPerSecond the budget of its link for cache blocks
- * @param concurrency how many requests it runs at once before others wait
+ * @param address the address at which the engine or plain service listens (HTTP)
+ * @param companion the address at which its companion listens for entries
+ * @param failureDomain its failure domain
+ * @param checksFencing whether the target itself refuses orders with an outdated fencing number
+ * @param draining whether the operator has it drained, so that it gets no new work
+ * @param linkBytesPerSecond the bandwidth limit of its link for cache blocks
+ * @param concurrency the maximum number of requests that run at once; further ones are queued
  */
 public record TargetSettings(
         TargetName name,
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/document/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/document/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The content of one service's document, as checked and immutable records.
+ * The content of one service's document as validated, immutable records.
  *
- * <p>Front class: {@link org.rattanrudder.core.document.ServiceDocument}.
+ * <p>Main class: {@link org.rattanrudder.core.document.ServiceDocument}.
  */
 package org.rattanrudder.core.document;
