--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/model/Address.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/model/Address.java
@@ -1,23 +1,23 @@
 package org.rattanrudder.core.model;
 
 /**
- * An address of a process: an IP number and a port.
+ * The network address of a process: an IP address and a port.
  *
- * @param host the IP number as text
+ * @param host the IP address as text
  * @param port the TCP port, 1 to 65535
  */
 public record Address(String host, int port) {
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
-    /** Refuses an empty host or a port out of range with an {@link IllegalArgumentException}. */
+    /** Throws an {@link IllegalArgumentException} if the host is empty or the port out of range. */
     public Address {
-        if (host.isEmpty() || port < 1 || port > HIGHEST_PORT) {
+        if (host.isEmpty() || port < 1 || port > MAX_PORT) {
             throw new IllegalArgumentException("\"" + host + ":" + port + "\" is not an address");
         }
     }
 
     /**
-     * Reads an address written as {@code host:port}.
+     * Parses an address of the form {@code host:port}.
      *
      * @throws IllegalArgumentException if the text has another form
      */
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/model/CustomerName.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/model/CustomerName.java
@@ -6,7 +6,7 @@
  * @param value up to 63 lower-case letters, digits, dots, dashes and underscores
  */
 public record CustomerName(String value) {
-    /** Refuses a value of another form with an {@link IllegalArgumentException}. */
+    /** Throws an {@link IllegalArgumentException} if the value has another form. */
     public CustomerName {
         Names.check("customer", value);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/model/Digest.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/model/Digest.java
@@ -7,7 +7,7 @@
 import java.util.HexFormat;
 
 /**
- * A SHA-256 digest, kept as four words so that maps of hundreds of thousands stay small.
+ * A SHA-256 digest, stored as four longs to save memory in maps with hundreds of thousands of digests.
  *
  * <pre>{@code
  * Digest root = Digest.of("customer", "service", "version");
@@ -28,7 +28,10 @@
         return fromBytes(sha256().digest(bytes));
     }
 
-    /** Returns the digest of a list of texts; each is preceded by its length, so that no two lists collide. */
+    /**
+     * Returns the digest of a list of strings. Each is prefixed with its length, so that different lists give different
+     * digests.
+     */
     public static Digest of(String... parts) {
         MessageDigest digest = sha256();
         for (String part : parts) {
@@ -41,7 +44,7 @@
     }
 
     /**
-     * Reads a digest from its 32 bytes.
+     * Creates a digest from its 32 bytes.
      *
      * @throws IllegalArgumentException if there are fewer or more bytes
      */
@@ -54,7 +57,7 @@
     }
 
     /**
-     * Reads a digest from 64 hexadecimal digits.
+     * Parses a digest of 64 hexadecimal digits.
      *
      * @throws IllegalArgumentException if the text has another form
      */
@@ -62,7 +65,7 @@
         return fromBytes(HexFormat.of().parseHex(hex));
     }
 
-    /** Returns the digest of this one followed by the given one: the name of a block under this parent. */
+    /** Returns the digest of this digest followed by another; it identifies a block below this parent. */
     public Digest chain(Digest next) {
         MessageDigest digest = sha256();
         digest.update(toBytes());
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/model/ErrorKind.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/model/ErrorKind.java
@@ -3,22 +3,22 @@
 import java.util.Locale;
 
 /**
- * The closed list of error kinds, with the table from kind to answer.
+ * All kinds of errors, with the HTTP status, run state, retry advice and severity of each.
  *
- * <p>Every refusal or failure that a caller, an operator or a log line sees is one of these.
+ * <p>Every refusal or failure that is returned to a caller or operator or is logged is of one of these kinds.
  */
 public enum ErrorKind {
-    /** The body, path or a header can't be read as a request. */
+    /** The body, the path or a header is malformed. */
     MALFORMED_REQUEST(400, RunState.NOT_RUN, RetryAdvice.NEVER, Severity.INFO),
-    /** No known credential was given. */
+    /** The credential is missing or unknown. */
     UNAUTHENTICATED(401, RunState.NOT_RUN, RetryAdvice.NEVER, Severity.INFO),
     /** The customer may not use the service or the request class. */
     FORBIDDEN(403, RunState.NOT_RUN, RetryAdvice.NEVER, Severity.INFO),
-    /** No document describes the service. */
+    /** There is no document for the service. */
     UNKNOWN_SERVICE(404, RunState.NOT_RUN, RetryAdvice.NEVER, Severity.INFO),
-    /** The path is none that is served. */
+    /** The path is not served. */
     UNKNOWN_PATH(404, RunState.NOT_RUN, RetryAdvice.NEVER, Severity.INFO),
-    /** The body didn't arrive in time. */
+    /** The body was not received in time. */
     REQUEST_TIMEOUT(408, RunState.NOT_RUN, RetryAdvice.AT_ONCE, Severity.INFO),
     /** A request with the same idempotency key is running now. */
     KEY_IN_PROGRESS(409, RunState.UNKNOWN, RetryAdvice.LATER, Severity.INFO),
@@ -26,41 +26,41 @@
     BODY_TOO_LARGE(413, RunState.NOT_RUN, RetryAdvice.NEVER, Severity.INFO),
     /** The idempotency key was used for another request. */
     KEY_REUSED(422, RunState.NOT_RUN, RetryAdvice.NEVER, Severity.WARN),
-    /** The customer is over its share or rate. */
+    /** The customer exceeds its share or rate limit. */
     CUSTOMER_OVER_SHARE(429, RunState.NOT_RUN, RetryAdvice.LATER, Severity.INFO),
     /** The headers are larger than the limit. */
     HEADERS_TOO_LARGE(431, RunState.NOT_RUN, RetryAdvice.NEVER, Severity.INFO),
-    /** The request can't meet its deadline any more. */
+    /** The request can no longer meet its deadline. */
     DEADLINE_UNREACHABLE(503, RunState.NOT_RUN, RetryAdvice.LATER, Severity.INFO),
-    /** Queues are full. */
+    /** The queues are full. */
     OVERLOADED(503, RunState.NOT_RUN, RetryAdvice.LATER, Severity.WARN),
     /** No target of the service accepts work. */
     NO_TARGET(503, RunState.NOT_RUN, RetryAdvice.LATER, Severity.WARN),
-    /** The process or target is leaving. */
+    /** The process or target is draining. */
     DRAINING(503, RunState.NOT_RUN, RetryAdvice.AT_ONCE, Severity.INFO),
-    /** The platform's log is needed for this request and doesn't answer. */
+    /** The request needs the platform's log, which is unavailable. */
     LOG_UNAVAILABLE(503, RunState.NOT_RUN, RetryAdvice.LATER, Severity.WARN),
     /** The target serves another weight version than the one admitted. */
     VERSION_CHANGED(503, RunState.NOT_RUN, RetryAdvice.AT_ONCE, Severity.INFO),
-    /** The companion no longer knows the attempt's addressee: it was restarted or never held the target. */
+    /** The attempt was addressed to another incarnation: the companion was restarted or never had the target. */
     STALE_INCARNATION(503, RunState.NOT_RUN, RetryAdvice.AT_ONCE, Severity.INFO),
-    /** Several targets ended while they ran this very request; it is sent to no further ones for a while. */
+    /** Several targets crashed while running this request; it is not sent to any other target for a while. */
     REQUEST_QUARANTINED(503, RunState.NOT_RUN, RetryAdvice.LATER, Severity.WARN),
-    /** The target couldn't be reached: nothing was sent. */
+    /** The target could not be reached; nothing was sent. */
     TARGET_UNREACHABLE(503, RunState.NOT_RUN, RetryAdvice.LATER, Severity.WARN),
     /** The target failed after the request was sent. */
     TARGET_FAILED(502, RunState.UNKNOWN, RetryAdvice.CALLER_DECIDES, Severity.WARN),
     /** The target made no progress in time after the request was sent. */
     TARGET_SILENT(504, RunState.UNKNOWN, RetryAdvice.CALLER_DECIDES, Severity.WARN),
-    /** An earlier process claimed the key or the attempt, and its outcome can't be learnt. */
+    /** An earlier process claimed the key or the attempt, and the outcome can't be determined. */
     OUTCOME_UNKNOWN(502, RunState.UNKNOWN, RetryAdvice.CALLER_DECIDES, Severity.WARN),
-    /** The caller went away. */
+    /** The caller closed the connection. */
     CANCELLED(499, RunState.UNKNOWN, RetryAdvice.CALLER_DECIDES, Severity.INFO),
-    /** A configuration edit was made from a revision that is no longer current. */
+    /** A configuration edit is based on a revision that is no longer current. */
     REVISION_CONFLICT(409, RunState.NOT_RUN, RetryAdvice.NEVER, Severity.INFO),
-    /** A document fails its checks. */
+    /** A document fails validation. */
     INVALID_DOCUMENT(422, RunState.NOT_RUN, RetryAdvice.NEVER, Severity.INFO),
-    /** A fault of ours. */
+    /** An internal error. */
     INTERNAL(500, RunState.UNKNOWN, RetryAdvice.CALLER_DECIDES, Severity.ERROR);
 
     private final int status;
@@ -75,29 +75,29 @@
         this.severity = severity;
     }
 
-    /** Whether and when a caller should repeat the request. */
+    /** Whether and when a caller should retry the request. */
     public enum RetryAdvice {
         /** The same request will fail again. */
         NEVER,
-        /** Another try may go at once; inside the system it does. */
+        /** The request may be retried at once; inside the system it is. */
         AT_ONCE,
-        /** Come back after the time in {@code Retry-After}. */
+        /** Retry after the time given in {@code Retry-After}. */
         LATER,
-        /** It may have run: only the caller knows whether a repeat is safe. */
+        /** The request may have run; only the caller knows whether a retry is safe. */
         CALLER_DECIDES
     }
 
     /** The level at which an event of this kind is logged. */
     public enum Severity {
-        /** Expected in ordinary work. */
+        /** Expected in normal operation. */
         INFO,
-        /** Worth an operator's look when frequent. */
+        /** Needs an operator's attention if frequent. */
         WARN,
-        /** A fault of the system. */
+        /** An error of the system. */
         ERROR
     }
 
-    /** Returns the HTTP status of the answer. */
+    /** Returns the HTTP status of the response. */
     public int status() {
         return status;
     }
@@ -107,7 +107,7 @@
         return runState;
     }
 
-    /** Returns whether and when to repeat. */
+    /** Returns whether and when to retry. */
     public RetryAdvice retryAdvice() {
         return retryAdvice;
     }
@@ -117,7 +117,7 @@
         return severity;
     }
 
-    /** Returns the word that callers see in the error body, such as {@code no_target}. */
+    /** Returns the name used in the error body, such as {@code no_target}. */
     public String wireName() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/model/InstanceName.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/model/InstanceName.java
@@ -1,12 +1,12 @@
 package org.rattanrudder.core.model;
 
 /**
- * The name of a instance.
+ * The name of an instance.
  *
  * @param value up to 63 lower-case letters, digits, dots, dashes and underscores
  */
 public record InstanceName(String value) {
-    /** Refuses a value of another form with an {@link IllegalArgumentException}. */
+    /** Throws an {@link IllegalArgumentException} if the value has another form. */
     public InstanceName {
         Names.check("instance", value);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/model/Refusal.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/model/Refusal.java
@@ -1,10 +1,10 @@
 package org.rattanrudder.core.model;
 
 /**
- * The end of a request without a whole answer: final, with when to come back.
+ * The final result of a request that got no complete answer, with a retry-after time.
  *
- * @param kind what went wrong; it decides status, run state and advice
- * @param retryAfterMillis when to come back, in milliseconds from now; 0 where that doesn't help
- * @param detail one line for people, without secrets or prompt text
+ * @param kind the kind of error, which determines status, run state and retry advice
+ * @param retryAfterMillis after how many milliseconds to retry; 0 where a retry doesn't help
+ * @param detail one human-readable line, without secrets or prompt text
  */
 public record Refusal(ErrorKind kind, long retryAfterMillis, String detail) {}
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/model/RunState.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/model/RunState.java
@@ -1,10 +1,10 @@
 package org.rattanrudder.core.model;
 
-/** What is known about the effect of a request that got no answer. */
+/** Whether a request that got no answer may have run. */
 public enum RunState {
-    /** The target never began it and never will: a repeat is safe. */
+    /** The target has not started it and never will, so a retry is safe. */
     NOT_RUN("not_run"),
-    /** The target may have run it, wholly or in part. */
+    /** The target may have run it, completely or in part. */
     UNKNOWN("unknown");
 
     private final String wireName;
@@ -13,7 +13,7 @@
         this.wireName = wireName;
     }
 
-    /** Returns the word that callers see in the error body. */
+    /** Returns the name used in the error body. */
     public String wireName() {
         return wireName;
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/model/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/model/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The names and small values that every other package shares: identifiers, digests, error kinds and endings.
+ * Value types that all other packages share: names, identifiers, digests, addresses and error kinds.
  *
- * <p>No class leads; {@link org.rattanrudder.core.model.ErrorKind} lists every way in which a request can fail.
+ * <p>There is no main class; {@link org.rattanrudder.core.model.ErrorKind} lists every way in which a request can fail.
  */
 package org.rattanrudder.core.model;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/model/ErrorKindTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/model/ErrorKindTest.java
@@ -16,7 +16,7 @@
     private static final Path PAGE = Path.of("..", "docs", "ERRORS.md");
 
     @Test
-    void thePageListsEveryKindAndNoOtherInTheSameOrder() throws IOException {
+    void theErrorsPageListsExactlyTheKindsInOrder() throws IOException {
         assertThat(rows().stream().map(row -> row.get(0)))
                 .containsExactlyElementsOf(Arrays.stream(ErrorKind.values())
                         .map(kind -> "`" + kind.wireName() + "`")
@@ -25,7 +25,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void thePageSaysWhatTheCodeDoes(ErrorKind kind) throws IOException {
+    void theErrorsPageMatchesEachKind(ErrorKind kind) throws IOException {
         List<String> row = rows().get(kind.ordinal());
 
         assertThat(row.subList(0, 5))
@@ -39,12 +39,12 @@
     }
 
     /**
-     * A caller repeats a log entry since the error told it to, and the driver is charged twice: only an error that says
-     * "not run" may advise a repeat, but for a key in progress, whose repeat gets the first call's answer.
+     * Failure: a call runs twice because an error advised the caller to retry it. Only an error with run state "not
+     * run" may advise a retry, except for a key in progress, whose retry gets the answer of the first call.
      */
     @ParameterizedTest
     @EnumSource
-    void aRepeatIsAdvisedOnlyWhereTheRequestDidNotRun(ErrorKind kind) {
+    void aRetryIsAdvisedOnlyIfTheRequestDidNotRun(ErrorKind kind) {
         boolean advised = kind.retryAdvice() == ErrorKind.RetryAdvice.AT_ONCE
                 || kind.retryAdvice() == ErrorKind.RetryAdvice.LATER;
 
