--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/call/Call.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/call/Call.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What a target is asked to do: an HTTP call within its service.
+ * An HTTP call to a service, as it is sent to a target.
  *
  * @param method the HTTP method
  * @param path path and query within the service, starting with a slash
- * @param headers the headers that are passed on
- * @param body the body; shared, never written to
+ * @param headers the headers to forward
+ * @param body the body; shared, must not be modified
  */
 public record Call(String method, String path, List<Header> headers, byte[] body) {
-    /** Copies the headers. The body is shared, since copies of long prompts would double the memory. */
+    /** Copies the headers. The body is shared, since copying long prompts would double their memory use. */
     public Call {
         headers = List.copyOf(headers);
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/call/PromptShape.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/call/PromptShape.java
@@ -5,13 +5,13 @@
 import org.rattanrudder.core.model.Digest;
 
 /**
- * What routing and caching need to know of a prompt, without its text.
+ * The length and content digests of a prompt, which routing and caching use instead of its text.
  *
  * @param tokens the prompt's length in tokens
- * @param pieces the digest of the text of each whole piece, in order; not yet bound to a customer
+ * @param pieces the digests of the prompt's complete pieces of text, in order; independent of the customer
  */
 public record PromptShape(int tokens, List<Digest> pieces) {
-    /** The shape of a call that is no prompt. */
+    /** The shape of a call that is not a prompt. */
     public static final PromptShape NONE = new PromptShape(0, List.of());
 
     /** Copies the list. */
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Returns the names of the prompt's blocks under a root: each names its piece and all before it, so that two
-     * prompts share a name exactly where they share the whole text up to there.
+     * Returns the digests that identify the prompt's blocks below a root. Each covers its piece and all pieces before
+     * it, so two prompts share a digest exactly if their text is the same up to the end of that block.
      */
     public List<Digest> blockDigests(Digest root) {
         List<Digest> names = new ArrayList<>(pieces.size());
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/call/Usage.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/call/Usage.java
@@ -1,14 +1,14 @@
 package org.rattanrudder.core.call;
 
 /**
- * What an answered prompt cost.
+ * The tokens, bytes and queueing time that an answered prompt used.
  *
- * @param promptTokens tokens of the prompt
- * @param cachedTokens of these, tokens that were not computed anew
- * @param fetchedTokens of these, tokens whose cache came from a store for this request
- * @param fetchedBytes bytes moved over the store's link for this request
- * @param completionTokens tokens of the answer
- * @param queuedMicros time from the companion's acceptance to the call of the target, in microseconds
+ * @param promptTokens the number of prompt tokens
+ * @param cachedTokens prompt tokens that were found in the cache and not recomputed
+ * @param fetchedTokens cached tokens whose blocks were fetched from a store for this request
+ * @param fetchedBytes bytes fetched over the store's link for this request
+ * @param completionTokens the number of tokens of the answer
+ * @param queuedMicros the time from acceptance by the companion until the target was called, in microseconds
  */
 public record Usage(
         int promptTokens,
@@ -17,6 +17,6 @@
         long fetchedBytes,
         int completionTokens,
         long queuedMicros) {
-    /** The usage of a call that is no prompt. */
+    /** The usage of a call that is not a prompt. */
     public static final Usage NONE = new Usage(0, 0, 0, 0, 0, 0);
 }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/call/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/call/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Requests and answers as they pass through the system.
+ * The HTTP calls that pass through the system, and what they use.
  *
- * <p>Front class: {@link org.rattanrudder.core.call.Call}, the request.
+ * <p>Main class: {@link org.rattanrudder.core.call.Call}, the request.
  */
 package org.rattanrudder.core.call;
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/call/PromptShapeTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/call/PromptShapeTest.java
@@ -12,7 +12,7 @@
 
 class PromptShapeTest {
     @Property(seed = "11", tries = 50)
-    void twoPromptsShareBlockNamesExactlyAsFarAsTheyShareText(
+    void promptsShareBlockDigestsExactlyForTheirSharedText(
             @ForAll @IntRange(max = 6) int shared, @ForAll @IntRange(min = 1, max = 4) int own) {
         Digest root = Digest.of("depot", "palivo-llm", "v1");
         List<Digest> left = shape(shared, own, "left").blockDigests(root);
@@ -23,11 +23,11 @@
     }
 
     /**
-     * A depot would be served another depot's context: both send the same text, and block names that leave the
-     * customer out would make the engine's cache hit across them.
+     * Failure: a customer gets cached context of another. Both send the same text, and block digests without the
+     * customer would let the engine's cache hit across them.
      */
     @Test
-    void sameTextOfTwoCustomersSharesNoName() {
+    void theSameTextOfTwoCustomersSharesNoBlockDigest() {
         PromptShape shape = shape(3, 0, "");
 
         assertThat(shape.blockDigests(Digest.of("sever", "palivo-llm", "v1")))
