--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/frame/Frame.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/frame/Frame.java
@@ -27,23 +27,24 @@
     /**
      * The first frame on a link, sent by both ends.
      *
-     * @param instance who speaks
-     * @param incarnation drawn anew at each start of the process; never 0
-     * @param failureDomain where it stands
-     * @param release the release of the speaker, for rolling upgrades
+     * @param instance the name of the sender
+     * @param incarnation a random number drawn at each start of the process; never 0
+     * @param failureDomain the sender's failure domain
+     * @param release the sender's release, for rolling upgrades
      */
     record Hello(InstanceName instance, long incarnation, String failureDomain, String release) implements Frame {}
 
     /**
-     * Sent at least each second by both ends, so that a connection which went silent shows.
+     * Sent at least once a second by both ends, so that an idle connection that has failed is detected.
      *
      * @param incarnation the sender's incarnation
-     * @param sequence counts up by one on each link
+     * @param sequence increases by one with each heartbeat on a link
      * @param targets the state of the companion's targets; empty from an entry
-     * @param revisions the document revision in force at the sender, for each service that it knows
-     * @param entries how many entries the companion has heard of within the last heartbeats, so that each entry can
-     *     take its part of a customer's rate; 0 from an entry
-     * @param customers what the companion took on behalf of customers lately; empty from an entry
+     * @param revisions the revision of each document in force at the sender
+     * @param entries the number of entries with a live link to the companion, by which each entry works out its share
+     *     of a customer's rate limit; 0 from an entry
+     * @param customers the attempt counts of the customers that were active at the companion recently; empty from an
+     *     entry
      */
     record Heartbeat(
             long incarnation,
@@ -60,7 +61,7 @@
             customers = List.copyOf(customers);
         }
 
-        /** Creates a heartbeat that says nothing of customers. */
+        /** Creates a heartbeat without customer counts. */
         public Heartbeat(
                 long incarnation,
                 long sequence,
@@ -75,18 +76,18 @@
      * Entry to companion: run this attempt at most once.
      *
      * @param attempt the attempt
-     * @param companionIncarnation whom it is addressed to; another incarnation refuses it
+     * @param companionIncarnation the companion's incarnation that it is addressed to; any other refuses it
      * @param target the target to run it on
-     * @param service its service
-     * @param customer on whose behalf
-     * @param requestClass the name of its class
-     * @param priority 0 goes first
+     * @param service the service of the target
+     * @param customer the customer that sent the request
+     * @param requestClass the name of the request class
+     * @param priority the priority; 0 is the highest
      * @param deadlineMicros time left until the first byte is due, in microseconds
-     * @param weightVersion the weight version it was admitted for; empty for plain calls
+     * @param weightVersion the weight version for which the request was admitted; empty for plain calls
      * @param idempotencyKey the caller's key
-     * @param idempotent whether a repeat does no harm
+     * @param idempotent whether a retry is safe
      * @param call the call
-     * @param prompt its shape
+     * @param prompt the shape of the prompt
      */
     record Dispatch(
             AttemptId attempt,
@@ -105,26 +106,27 @@
             implements AttemptFrame {}
 
     /**
-     * Entry to companion: the caller is gone or another attempt took over; stop it.
+     * Entry to companion: stop the attempt, because the caller disconnected or another attempt replaced it.
      *
      * @param attempt the attempt
      */
     record Cancel(AttemptId attempt) implements AttemptFrame {}
 
     /**
-     * Entry to companion: send the answer from this chunk on again, its head first. The window begins anew: as many
-     * chunks from this one on may be sent as at the start of an attempt, and earlier credit no longer counts. A
-     * companion that never had the attempt answers NotRun and leaves a tombstone for a late dispatch.
+     * Entry to companion: send the answer again, first its head and then the chunks from the given one on. The flow
+     * control window is reset: as many chunks as at the start of an attempt may be sent, and earlier credit is
+     * discarded. A companion that never received the attempt answers NotRun and keeps a tombstone, so that it refuses a
+     * late dispatch.
      *
      * @param attempt the attempt
-     * @param companionIncarnation who ran it
-     * @param nextChunk the number of the first chunk that hasn't arrived
+     * @param companionIncarnation the incarnation of the companion that ran it
+     * @param nextChunk the number of the first chunk that wasn't received
      */
     record Resume(AttemptId attempt, long companionIncarnation, long nextChunk) implements AttemptFrame {}
 
     /**
-     * Entry to companion: the caller took this many chunks, so as many more may be sent. An attempt starts with a
-     * window of {@link org.rattanrudder.core.companion.CompanionEffect#INITIAL_WINDOW_CHUNKS}.
+     * Entry to companion: the caller has received this many chunks, so the same number may be sent in addition. An
+     * attempt starts with a window of {@link org.rattanrudder.core.companion.CompanionEffect#INITIAL_WINDOW_CHUNKS}.
      *
      * @param attempt the attempt
      * @param chunks the number of chunks
@@ -132,18 +134,18 @@
     record Credit(AttemptId attempt, int chunks) implements AttemptFrame {}
 
     /**
-     * Companion to entry: the attempt waits or runs.
+     * Companion to entry: the attempt is queued or running.
      *
      * @param attempt the attempt
      */
     record Accepted(AttemptId attempt) implements AttemptFrame {}
 
     /**
-     * Companion to entry: the attempt has not run here and never will.
+     * Companion to entry: the attempt has not run at this companion and never will.
      *
      * @param attempt the attempt
-     * @param refusal why, and when to come back
-     * @param waitMicros the target's present queue wait
+     * @param refusal the reason and the retry-after time
+     * @param waitMicros the current queue wait of the target
      */
     record NotRun(AttemptId attempt, Refusal refusal, long waitMicros) implements AttemptFrame {}
 
@@ -152,7 +154,7 @@
      *
      * @param attempt the attempt
      * @param status the HTTP status
-     * @param headers the headers to pass on
+     * @param headers the headers to forward
      */
     record AnswerHead(AttemptId attempt, int status, List<Header> headers) implements AttemptFrame {
         /** Copies the headers. */
@@ -166,36 +168,36 @@
      *
      * @param attempt the attempt
      * @param number counts up from 0
-     * @param bytes the part; shared, never written to
+     * @param bytes the content; shared, must not be modified
      */
     record AnswerChunk(AttemptId attempt, long number, byte[] bytes) implements AttemptFrame {}
 
     /**
-     * Companion to entry: the answer is whole.
+     * Companion to entry: the answer is complete.
      *
      * @param attempt the attempt
-     * @param chunks how many chunks it has
-     * @param usage what it cost
+     * @param chunks the number of its chunks
+     * @param usage the tokens, bytes and queueing time that it used
      */
     record AnswerEnd(AttemptId attempt, long chunks, Usage usage) implements AttemptFrame {}
 
     /**
-     * Companion to entry: no whole answer will come, and the attempt may have run.
+     * Companion to entry: there will be no complete answer, and the attempt may have run.
      *
      * @param attempt the attempt
-     * @param refusal why
+     * @param refusal the reason
      */
     record AnswerFailed(AttemptId attempt, Refusal refusal) implements AttemptFrame {}
 
     /**
-     * Either way: send the configuration records that you hold, since the log can't be read.
+     * In both directions: requests the receiver's configuration records, since the sender can't read the log.
      *
-     * @param fromOffset the first offset that the asker lacks
+     * @param fromOffset the first offset that the sender lacks
      */
     record ConfigurationRequest(long fromOffset) implements Frame {}
 
     /**
-     * Either way: configuration records as read from the log.
+     * In both directions: configuration records as in the log.
      *
      * @param records in the order of their offsets
      */
@@ -206,20 +208,20 @@
         }
     }
 
-    /** Either way: the sender leaves; it takes no new attempts and finishes those it has. */
+    /** In both directions: the sender is draining; it accepts no new attempts and completes those it has. */
     record Leaving() implements Frame {}
 
     /**
-     * The state of one target as its companion sees it.
+     * The state of one target as reported by its companion.
      *
      * @param target the target
-     * @param accepting whether new attempts are taken
-     * @param running attempts at the target
-     * @param queued attempts that wait at the companion
-     * @param waitMicros the wait that a new attempt of middle priority would see, in microseconds
+     * @param accepting whether new attempts are accepted
+     * @param running the number of attempts running at the target
+     * @param queued the number of attempts queued at the companion
+     * @param waitMicros the expected queue wait of a new attempt of medium priority, in microseconds
      * @param weightVersion the version that the engine reports as active; empty for plain services
-     * @param prefillTokensPerSecond measured speed of computing context; 0 if not yet known
-     * @param fetchBytesPerSecond measured speed of fetching context; 0 if not yet known
+     * @param prefillTokensPerSecond the measured rate of computing context; 0 if unknown
+     * @param fetchBytesPerSecond the measured rate of fetching context; 0 if unknown
      */
     record TargetState(
             TargetName target,
@@ -235,19 +237,19 @@
      * A document revision in force.
      *
      * @param service the service
-     * @param revision the log offset of its record
+     * @param revision the log offset of its edit
      */
     record ServiceRevision(ServiceName service, long revision) {}
 
     /**
-     * How many attempts a companion has taken on behalf of one customer of one service, from all entries.
+     * The number of attempts that a companion has accepted for one customer of one service, from all entries.
      *
-     * @param customer the customer's and the service's name as a hash, as {@link #customerHash} gives it
-     * @param taken the number of attempts since the companion started
+     * @param customer the hash of the customer's and the service's name, as returned by {@link #customerHash}
+     * @param taken the number of attempts accepted since the companion started
      */
     record CustomerCount(long customer, long taken) {}
 
-    /** Returns the hash under which a companion counts a customer of a service. */
+    /** Returns the hash that identifies a customer of a service in customer counts. */
     static long customerHash(ServiceName service, CustomerName customer) {
         return Digest.of(service.value(), customer.value()).first();
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/frame/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/frame/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The typed messages between an entry and a companion.
+ * The messages exchanged between an entry and a companion.
  *
- * <p>Front class: {@link org.rattanrudder.core.frame.Frame}.
+ * <p>Main class: {@link org.rattanrudder.core.frame.Frame}.
  */
 package org.rattanrudder.core.frame;
