--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/package-info.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The seam between decisions and the world: state machines that turn events into effects.
+ * The interface between decision logic and its environment: state machines that turn events into effects.
  *
- * <p>Front class: {@link org.rattanrudder.core.StateMachine}.
+ * <p>Main class: {@link org.rattanrudder.core.StateMachine}.
  */
 package org.rattanrudder.core;
