--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionBench.java
@@ -11,16 +11,16 @@
 import org.rattanrudder.core.bench.AdmissionSimulation.Request;
 import org.rattanrudder.core.model.CustomerName;
 
-/** Measures admission at one target under overload, against first come, first served, on the same seeds. */
+/** Compares fair admission at one overloaded target with first-in-first-out admission on the same seeds. */
 final class AdmissionBench {
-    private static final long SECOND = AdmissionSimulation.SECOND;
-    private static final long DURATION = 300 * SECOND;
-    private static final int PLACES = 16;
-    private static final AdmissionLimits LIMITS = AdmissionLimits.of(PLACES, 0, 256);
-    private static final long CHECK_HELD = 400_000;
-    private static final long AUDIT_HELD = 4 * SECOND;
-    private static final long CHECK_DEADLINE = 2 * SECOND;
-    private static final long AUDIT_DEADLINE = 60 * SECOND;
+    private static final long MICROS_PER_SECOND = AdmissionSimulation.MICROS_PER_SECOND;
+    private static final long DURATION_MICROS = 300 * MICROS_PER_SECOND;
+    private static final int CONCURRENCY = 16;
+    private static final AdmissionLimits LIMITS = AdmissionLimits.of(CONCURRENCY, 0, 256);
+    private static final long CHECK_SERVICE_MICROS = 400_000;
+    private static final long AUDIT_SERVICE_MICROS = 4 * MICROS_PER_SECOND;
+    private static final long CHECK_DEADLINE_MICROS = 2 * MICROS_PER_SECOND;
+    private static final long AUDIT_DEADLINE_MICROS = 60 * MICROS_PER_SECOND;
     private static final long[] SEEDS = {1, 2, 3, 4, 5};
 
     private AdmissionBench() {}
@@ -48,17 +48,18 @@
             double part = share / 16.0;
             loads.add(checks("customer-" + customer, share, checks * part));
             if (audits > 0) {
-                double rate = audits * part * PLACES * SECOND / AUDIT_HELD;
+                double rate = audits * part * CONCURRENCY * MICROS_PER_SECOND / AUDIT_SERVICE_MICROS;
                 CustomerName name = new CustomerName("customer-" + customer);
-                loads.add(new Load(name, share, "audit", 5, AUDIT_DEADLINE, AUDIT_HELD, rate));
+                loads.add(new Load(name, share, "audit", 5, AUDIT_DEADLINE_MICROS, AUDIT_SERVICE_MICROS, rate));
             }
         }
         return loads;
     }
 
     private static Load checks(String customer, int share, double timesCapacity) {
-        double rate = timesCapacity * PLACES * SECOND / CHECK_HELD;
-        return new Load(new CustomerName(customer), share, "check", 0, CHECK_DEADLINE, CHECK_HELD, rate);
+        double rate = timesCapacity * CONCURRENCY * MICROS_PER_SECOND / CHECK_SERVICE_MICROS;
+        return new Load(
+                new CustomerName(customer), share, "check", 0, CHECK_DEADLINE_MICROS, CHECK_SERVICE_MICROS, rate);
     }
 
     private static void print(String name, List<Load> loads) {
@@ -71,11 +72,12 @@
         List<Request> requests = new ArrayList<>();
         double best = 0;
         for (long seed : SEEDS) {
-            List<Request> some = new AdmissionSimulation(factory.apply(LIMITS), seed).run(loads, DURATION);
-            best += Math.min(service(some), (double) PLACES * lastEnd(some));
+            List<Request> some = new AdmissionSimulation(factory.apply(LIMITS), seed).run(loads, DURATION_MICROS);
+            best += Math.min(totalServiceMicros(some), (double) CONCURRENCY * lastEndMicros(some));
             requests.addAll(some);
         }
-        double good = service(requests.stream().filter(Request::inTime).toList());
+        double good =
+                totalServiceMicros(requests.stream().filter(Request::inTime).toList());
         List<Request> checks = ofClass(requests, "check");
         List<Request> audits = ofClass(requests, "audit");
         List<Request> refused =
@@ -94,9 +96,9 @@
                 name,
                 kind,
                 100 * good / best,
-                inTime(checks.stream().filter(Request::started).toList()),
-                inTime(checks),
-                audits.isEmpty() ? "-" : String.format(Locale.ROOT, "%.1f%%", inTime(audits)),
+                percentInTime(checks.stream().filter(Request::started).toList()),
+                percentInTime(checks),
+                audits.isEmpty() ? "-" : String.format(Locale.ROOT, "%.1f%%", percentInTime(audits)),
                 longestWait / 1e6,
                 100.0 * refused.size() / requests.size(),
                 100.0 * atOnce / Math.max(1, refused.size()));
@@ -109,39 +111,41 @@
                 checks("small-1", 1, 0.2),
                 checks("small-2", 1, 0.1),
                 checks("small-3", 1, 0.1));
-        List<Request> fifo = new AdmissionSimulation(new FifoAdmission<>(LIMITS), 1).run(loads, DURATION);
-        List<Request> fair = new AdmissionSimulation(new FairAdmission<>(LIMITS), 1).run(loads, DURATION);
+        List<Request> fifo = new AdmissionSimulation(new FifoAdmission<>(LIMITS), 1).run(loads, DURATION_MICROS);
+        List<Request> fair = new AdmissionSimulation(new FairAdmission<>(LIMITS), 1).run(loads, DURATION_MICROS);
         for (Load load : loads) {
             System.out.printf(
                     Locale.ROOT,
                     "| %s | %d | %.1f | %.3f | %.3f |%n",
                     load.customer(),
                     load.share(),
-                    load.perSecond() * CHECK_HELD / SECOND / PLACES,
-                    part(fifo, load),
-                    part(fair, load));
+                    load.requestsPerSecond() * CHECK_SERVICE_MICROS / MICROS_PER_SECOND / CONCURRENCY,
+                    serviceShare(fifo, load),
+                    serviceShare(fair, load));
         }
     }
 
-    /** Returns when the last request ended: what waits at the end of the load is still served. */
-    private static long lastEnd(List<Request> requests) {
+    /** Returns when the last request ended, including requests that were still queued at the end of the load. */
+    private static long lastEndMicros(List<Request> requests) {
         return requests.stream()
                 .filter(Request::started)
-                .mapToLong(each -> each.startedMicros + each.heldMicros)
+                .mapToLong(each -> each.startedMicros + each.serviceMicros)
                 .max()
                 .orElse(0);
     }
 
-    private static double part(List<Request> requests, Load load) {
+    private static double serviceShare(List<Request> requests, Load load) {
         List<Request> served = requests.stream().filter(Request::started).toList();
-        return service(served.stream().filter(each -> each.load == load).toList()) / service(served);
+        return totalServiceMicros(
+                        served.stream().filter(each -> each.load == load).toList())
+                / totalServiceMicros(served);
     }
 
-    private static double service(List<Request> requests) {
-        return requests.stream().mapToLong(each -> each.heldMicros).sum();
+    private static double totalServiceMicros(List<Request> requests) {
+        return requests.stream().mapToLong(each -> each.serviceMicros).sum();
     }
 
-    private static double inTime(List<Request> requests) {
+    private static double percentInTime(List<Request> requests) {
         return 100.0 * requests.stream().filter(Request::inTime).count() / Math.max(1, requests.size());
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionSimulation.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/AdmissionSimulation.java
@@ -10,18 +10,18 @@
 import org.rattanrudder.core.admission.AdmissionRequest;
 import org.rattanrudder.core.model.CustomerName;
 
-/** Offers requests to one target's admission at random times, and measures what became of them. */
+/** Simulates requests that arrive at one target's admission at random times, and records the outcome of each. */
 final class AdmissionSimulation {
-    static final long SECOND = 1_000_000;
-    private static final long TICK = 50_000;
-    private static final double FIRST_BYTE_PART = 0.25;
+    static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long TICK_INTERVAL_MICROS = 50_000;
+    private static final double FIRST_BYTE_SHARE = 0.25;
 
     private final Admission<Request> admission;
     private final Random random;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::atMicros).thenComparingLong(Event::number));
     private final List<Request> requests = new ArrayList<>();
-    private long numbers;
+    private long nextNumber;
 
     AdmissionSimulation(Admission<Request> admission, long seed) {
         this.admission = admission;
@@ -31,13 +31,13 @@
     /**
      * A stream of requests.
      *
-     * @param customer whose
-     * @param share its weight
-     * @param requestClass the class
-     * @param priority its priority
-     * @param deadlineMicros until the first byte
-     * @param heldMicros mean time for which a request holds its place
-     * @param perSecond mean rate
+     * @param customer the customer that sends the requests
+     * @param share the customer's weight
+     * @param requestClass the request class
+     * @param priority the priority of the class
+     * @param deadlineMicros the deadline of the first byte
+     * @param meanServiceMicros the mean time for which a request runs
+     * @param requestsPerSecond the mean rate
      */
     record Load(
             CustomerName customer,
@@ -45,21 +45,21 @@
             String requestClass,
             int priority,
             long deadlineMicros,
-            long heldMicros,
-            double perSecond) {}
+            long meanServiceMicros,
+            double requestsPerSecond) {}
 
-    /** One request and what became of it. */
+    /** One request and its outcome. */
     static final class Request {
         final Load load;
         final long arrivedMicros;
-        final long heldMicros;
+        final long serviceMicros;
         long startedMicros = -1;
         long refusedMicros = -1;
 
-        Request(Load load, long arrivedMicros, long heldMicros) {
+        Request(Load load, long arrivedMicros, long serviceMicros) {
             this.load = load;
             this.arrivedMicros = arrivedMicros;
-            this.heldMicros = heldMicros;
+            this.serviceMicros = serviceMicros;
         }
 
         boolean started() {
@@ -67,22 +67,25 @@
         }
 
         boolean inTime() {
-            long firstByte = startedMicros + Math.round(heldMicros * FIRST_BYTE_PART);
+            long firstByte = startedMicros + Math.round(serviceMicros * FIRST_BYTE_SHARE);
             return started() && firstByte <= arrivedMicros + load.deadlineMicros();
         }
     }
 
-    /** Runs the loads for this long, lets the queue empty, and returns all requests in the order of their arrival. */
+    /**
+     * Runs the loads for the given time and then until the queue is empty; returns all requests in order of arrival.
+     */
     List<Request> run(List<Load> loads, long durationMicros) {
         for (Load load : loads) {
-            for (double at = gap(load); at < durationMicros; at += gap(load)) {
-                long held = Math.round(load.heldMicros() * (0.5 + 0.5 * -Math.log(1 - random.nextDouble())));
-                Request request = new Request(load, Math.round(at), held);
-                at(request.arrivedMicros, now -> arrive(request, now));
+            for (double at = drawInterval(load); at < durationMicros; at += drawInterval(load)) {
+                long serviceMicros =
+                        Math.round(load.meanServiceMicros() * (0.5 + 0.5 * -Math.log(1 - random.nextDouble())));
+                Request request = new Request(load, Math.round(at), serviceMicros);
+                schedule(request.arrivedMicros, now -> arrive(request, now));
             }
         }
-        for (long tick = TICK; tick < durationMicros; tick += TICK) {
-            at(tick, this::tick);
+        for (long tick = TICK_INTERVAL_MICROS; tick < durationMicros; tick += TICK_INTERVAL_MICROS) {
+            schedule(tick, this::tick);
         }
         while (!events.isEmpty()) {
             Event event = events.remove();
@@ -92,8 +95,8 @@
         return requests;
     }
 
-    private double gap(Load load) {
-        return -Math.log(1 - random.nextDouble()) * SECOND / load.perSecond();
+    private double drawInterval(Load load) {
+        return -Math.log(1 - random.nextDouble()) * MICROS_PER_SECOND / load.requestsPerSecond();
     }
 
     private void arrive(Request request, long now) {
@@ -111,31 +114,32 @@
         } else {
             request.refusedMicros = now;
         }
-        fill(now);
+        startNext(now);
     }
 
     private void tick(long now) {
         admission.removeLate(now).forEach(late -> late.refusedMicros = now);
-        fill(now);
+        startNext(now);
     }
 
-    private void fill(long now) {
+    private void startNext(long now) {
         while (true) {
             Request next = admission.startNext(now).orElse(null);
             if (next == null) {
                 return;
             }
             next.startedMicros = now;
-            at(now + Math.round(next.heldMicros * FIRST_BYTE_PART), then -> admission.onFirstByte(next, then));
-            at(now + next.heldMicros, then -> {
+            schedule(
+                    now + Math.round(next.serviceMicros * FIRST_BYTE_SHARE), then -> admission.onFirstByte(next, then));
+            schedule(now + next.serviceMicros, then -> {
                 admission.onFinished(next, then);
-                fill(then);
+                startNext(then);
             });
         }
     }
 
-    private void at(long micros, LongConsumer action) {
-        events.add(new Event(micros, numbers++, action));
+    private void schedule(long micros, LongConsumer action) {
+        events.add(new Event(micros, nextNumber++, action));
     }
 
     private record Event(long atMicros, long number, LongConsumer action) {}
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/CompanionSlopesBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/CompanionSlopesBench.java
@@ -12,23 +12,26 @@
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.model.AttemptId;
 
-/** Measures what each queued attempt, running attempt and tombstone costs a companion, at several sizes. */
+/**
+ * Measures the memory and time that each queued attempt, running attempt and tombstone costs a companion, at several
+ * sizes.
+ */
 final class CompanionSlopesBench {
     private static final int[] SIZES = {1_000, 4_000, 16_000};
-    private static final int WARM_UP = 16_000;
+    private static final int WARM_UP_SIZE = 16_000;
     private static final int ROUNDS = 5;
     private static final int TICKS = 40;
     private static final int CHUNKS = 100_000;
-    private static final long FAR_MICROS = 1_000_000_000_000_000L;
+    private static final long FAR_DEADLINE_MICROS = 1_000_000_000_000_000L;
 
     private CompanionSlopesBench() {}
 
     /** Prints the table. */
     public static void main(String[] arguments) {
         for (int round = 0; round < ROUNDS; round++) {
-            measure(WARM_UP, 1);
-            measure(WARM_UP, WARM_UP);
-            measureTombstones(WARM_UP);
+            measure(WARM_UP_SIZE, 1);
+            measure(WARM_UP_SIZE, WARM_UP_SIZE);
+            measureTombstones(WARM_UP_SIZE);
         }
         System.out.println(
                 "| what | how many | bytes each | dispatch (us each) | tick (us) | doubled dispatch (us each) "
@@ -46,21 +49,25 @@
     }
 
     private record Costs(
-            double bytes, double dispatchMicros, double tickMicros, double doubledMicros, double chunkMicros) {}
+            double bytes,
+            double dispatchMicros,
+            double tickMicros,
+            double duplicateDispatchMicros,
+            double chunkMicros) {}
 
-    /** Returns the middle of five rounds for each cost, since the machine does other things as well. */
+    /** Returns the median of five rounds for each cost, to reduce the influence of other load on the machine. */
     private static Costs median(Supplier<Costs> measurement) {
         List<Costs> rounds = Stream.generate(measurement).limit(ROUNDS).toList();
         return new Costs(
-                middle(rounds, Costs::bytes),
-                middle(rounds, Costs::dispatchMicros),
-                middle(rounds, Costs::tickMicros),
-                middle(rounds, Costs::doubledMicros),
-                middle(rounds, Costs::chunkMicros));
+                medianOf(rounds, Costs::bytes),
+                medianOf(rounds, Costs::dispatchMicros),
+                medianOf(rounds, Costs::tickMicros),
+                medianOf(rounds, Costs::duplicateDispatchMicros),
+                medianOf(rounds, Costs::chunkMicros));
     }
 
-    private static double middle(List<Costs> rounds, ToDoubleFunction<Costs> part) {
-        return rounds.stream().mapToDouble(part).sorted().toArray()[ROUNDS / 2];
+    private static double medianOf(List<Costs> rounds, ToDoubleFunction<Costs> cost) {
+        return rounds.stream().mapToDouble(cost).sorted().toArray()[ROUNDS / 2];
     }
 
     private static Costs measure(int size, int concurrency) {
@@ -89,14 +96,15 @@
             companion.effects.clear();
         }
         long after = usedBytes();
-        double doubled = dispatch(companion, size);
+        double duplicateDispatch = dispatch(companion, size);
         companion.effects.clear();
-        return new Costs((double) (after - before) / size, dispatch / 1e3 / size, tick(companion), doubled, 0);
+        return new Costs(
+                (double) (after - before) / size, dispatch / 1e3 / size, tick(companion), duplicateDispatch, 0);
     }
 
     private static CompanionDriver companion(int concurrency) {
         CompanionDriver companion = new CompanionDriver();
-        companion.publish(CompanionDriver.document(CompanionDriver.PROMPTS, concurrency, 2 * WARM_UP, false));
+        companion.publish(CompanionDriver.document(CompanionDriver.PROMPTS, concurrency, 2 * WARM_UP_SIZE, false));
         companion.reportVersion("v1");
         companion.openLink(1);
         companion.effects.clear();
@@ -120,7 +128,7 @@
         return (System.nanoTime() - start) / 1e3 / TICKS;
     }
 
-    /** Returns what it costs to relay a chunk and to take the credit for it. */
+    /** Returns the cost of relaying a chunk and handling the credit for it. */
     private static double chunk(CompanionDriver companion, int running) {
         byte[] bytes = new byte[64];
         long start = System.nanoTime();
@@ -133,22 +141,25 @@
         return (System.nanoTime() - start) / 1e3 / CHUNKS;
     }
 
-    /** Returns a dispatch without a body, as the attempt's own state is to be measured. */
+    /**
+     * Returns a dispatch without body and prompt shape and with a distant deadline, so that only the attempt itself
+     * is measured.
+     */
     private static Frame.Dispatch dispatch(long sequence) {
-        Frame.Dispatch like = CompanionDriver.prompt(sequence);
+        Frame.Dispatch prompt = CompanionDriver.prompt(sequence);
         return new Frame.Dispatch(
-                like.attempt(),
-                like.companionIncarnation(),
-                like.target(),
-                like.service(),
-                like.customer(),
-                like.requestClass(),
-                like.priority(),
-                FAR_MICROS,
-                like.weightVersion(),
+                prompt.attempt(),
+                prompt.companionIncarnation(),
+                prompt.target(),
+                prompt.service(),
+                prompt.customer(),
+                prompt.requestClass(),
+                prompt.priority(),
+                FAR_DEADLINE_MICROS,
+                prompt.weightVersion(),
                 Optional.empty(),
                 true,
-                like.call(),
+                prompt.call(),
                 PromptShape.NONE);
     }
 
@@ -169,7 +180,7 @@
                 costs.bytes(),
                 costs.dispatchMicros(),
                 costs.tickMicros(),
-                costs.doubledMicros(),
+                costs.duplicateDispatchMicros(),
                 costs.chunkMicros());
     }
 }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/DecisionCostBench.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/DecisionCostBench.java
@@ -17,10 +17,10 @@
 import org.rattanrudder.core.routing.RoutingQuery;
 import org.rattanrudder.core.routing.TargetPool;
 
-/** Measures what one routing decision costs at several numbers of targets. */
+/** Measures the time of one routing decision for several numbers of targets. */
 public final class DecisionCostBench {
-    private static final int WARM_UP = 200_000;
-    private static final int MEASURED = 200_000;
+    private static final int WARM_UP_DECISIONS = 200_000;
+    private static final int MEASURED_DECISIONS = 200_000;
     private static final int CONTEXTS = 320_000;
     private static final ContextCosts COSTS = new ContextCosts(60_000, 0, 0);
 
@@ -40,22 +40,22 @@
         SplittableRandom random = new SplittableRandom(5);
         TargetPool pool = pool(targets);
         AffinityPolicy policy = new AffinityPolicy("domain-1", random);
-        long[] nanos = new long[MEASURED];
-        for (int turn = -WARM_UP; turn < MEASURED; turn++) {
-            long now = 1_000_000 + (turn + WARM_UP) * 2L;
+        long[] nanos = new long[MEASURED_DECISIONS];
+        for (int decision = -WARM_UP_DECISIONS; decision < MEASURED_DECISIONS; decision++) {
+            long now = 1_000_000 + (decision + WARM_UP_DECISIONS) * 2L;
             RoutingQuery query = query(kind, random);
             long begin = System.nanoTime();
             Route route = policy.choose(query, pool, now).orElseThrow();
             policy.onDispatched(query, route, pool, now);
             long end = System.nanoTime();
-            if (turn >= 0) {
-                nanos[turn] = end - begin;
+            if (decision >= 0) {
+                nanos[decision] = end - begin;
             }
         }
         Arrays.sort(nanos);
         System.out.printf(
                 "%7d | %-18s | %8.2f %8.2f%n",
-                targets, kind, nanos[MEASURED / 2] / 1e3, nanos[MEASURED / 100 * 99] / 1e3);
+                targets, kind, nanos[MEASURED_DECISIONS / 2] / 1e3, nanos[MEASURED_DECISIONS / 100 * 99] / 1e3);
     }
 
     private static RoutingQuery query(String kind, SplittableRandom random) {
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/FifoAdmission.java
@@ -9,7 +9,7 @@
 import org.rattanrudder.core.admission.AdmissionLimits;
 import org.rattanrudder.core.admission.AdmissionRequest;
 
-/** The naive admission: first come, first served, until the queue is full. */
+/** First-in-first-out admission with a bounded queue, as a baseline. */
 final class FifoAdmission<T> implements Admission<T> {
     private final ArrayDeque<T> queue = new ArrayDeque<>();
     private final Set<T> running = new HashSet<>();
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
@@ -25,17 +25,17 @@
 import org.rattanrudder.core.routing.TargetPool;
 
 /**
- * A few entries before a few engines, on a clock of its own: enough of a model to compare policies under late reports.
- * An engine computes missing context one request at a time, decodes in a fixed number of slots, and keeps the contexts
- * that were used last. Companions report each second.
+ * Simulates entries and engines in simulated time, in enough detail to compare routing policies under stale load
+ * reports. An engine computes missing context one request at a time, decodes in a fixed number of slots, and caches the
+ * most recently used contexts. Companions send load reports every second.
  */
 final class ServingModel {
-    static final long SECOND = 1_000_000;
-    private static final long WAY_MICROS = 500;
-    private static final long LOSS_SEEN_MICROS = 800_000;
+    static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long NETWORK_DELAY_MICROS = 500;
+    private static final long LOSS_DETECTION_MICROS = 800_000;
 
-    /** Sizes of a run. */
-    record Shape(
+    /** Parameters of a run. */
+    record Parameters(
             int targets,
             int domains,
             int entries,
@@ -46,57 +46,57 @@
             long prefillTokensPerSecond,
             long decodeMicros) {}
 
-    /** One request: when it comes and which context it needs; context 0 for none. */
+    /** One request, with its arrival time and the context that it needs; context 0 for none. */
     record Demand(long micros, long context) {}
 
-    /** What became of a request. */
+    /** The outcome of a request. */
     record Outcome(long micros, long firstTokenMicros, int promptTokens, int recomputedTokens) {}
 
-    private final Shape shape;
+    private final Parameters parameters;
     private final SplittableRandom random;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::micros).thenComparingLong(Event::order));
     private final List<Engine> engines = new ArrayList<>();
     private final List<Entry> entries = new ArrayList<>();
     private final List<Outcome> outcomes = new ArrayList<>();
-    private long order;
+    private long nextOrder;
     private int lost;
     private int refused;
 
     private record Event(long micros, long order, Runnable action) {}
 
-    ServingModel(Shape shape, long seed, Function<SplittableRandom, RoutingPolicy> policy) {
-        this.shape = shape;
+    ServingModel(Parameters parameters, long seed, Function<SplittableRandom, RoutingPolicy> policy) {
+        this.parameters = parameters;
         this.random = new SplittableRandom(seed);
         List<TargetSettings> settings = new ArrayList<>();
-        for (int number = 0; number < shape.targets(); number++) {
+        for (int number = 0; number < parameters.targets(); number++) {
             settings.add(settings(number));
             engines.add(new Engine(number));
         }
-        for (int number = 0; number < shape.entries(); number++) {
+        for (int number = 0; number < parameters.entries(); number++) {
             entries.add(new Entry(new TargetPool(settings), policy.apply(random.split())));
         }
     }
 
     private TargetSettings settings(int number) {
         Address address = new Address("10." + number / 65_536 + "." + number / 256 % 256 + "." + number % 256, 9000);
-        String domain = "domain-" + number % shape.domains();
+        String domain = "domain-" + number % parameters.domains();
         return new TargetSettings(
-                new TargetName("target-" + number), address, address, domain, true, false, 0, shape.slots());
+                new TargetName("target-" + number), address, address, domain, true, false, 0, parameters.slots());
     }
 
-    /** Runs the demand, losing a failure domain at the given time (negative: never); returns the outcomes. */
+    /** Runs the requests and returns their outcomes; a failure domain fails at the given time (negative: never). */
     List<Outcome> run(List<Demand> demand, long lossMicros) {
         for (Engine engine : engines) {
-            at(random.nextLong(SECOND), () -> report(engine));
+            schedule(random.nextLong(MICROS_PER_SECOND), () -> report(engine));
         }
         for (Demand each : demand) {
-            at(each.micros() + SECOND, () -> arrive(each));
+            schedule(each.micros() + MICROS_PER_SECOND, () -> arrive(each));
         }
         if (lossMicros >= 0) {
-            at(lossMicros + SECOND, this::loseDomain);
+            schedule(lossMicros + MICROS_PER_SECOND, this::failDomain);
         }
-        long end = demand.get(demand.size() - 1).micros() + 2 * SECOND;
+        long end = demand.get(demand.size() - 1).micros() + 2 * MICROS_PER_SECOND;
         while (!events.isEmpty()) {
             Event event = events.poll();
             now = event.micros();
@@ -119,19 +119,21 @@
         return lost;
     }
 
-    private void at(long micros, Runnable action) {
-        events.add(new Event(micros, order++, action));
+    private void schedule(long micros, Runnable action) {
+        events.add(new Event(micros, nextOrder++, action));
     }
 
     private void report(Engine engine) {
-        if (engine.dead) {
+        if (engine.failed) {
             return;
         }
         Frame.TargetState state = engine.state();
         for (Entry entry : entries) {
-            at(now + WAY_MICROS, () -> entry.pool.targets().get(engine.number).applyReport(state, now));
+            schedule(
+                    now + NETWORK_DELAY_MICROS,
+                    () -> entry.pool.targets().get(engine.number).applyReport(state, now));
         }
-        at(now + SECOND, () -> report(engine));
+        schedule(now + MICROS_PER_SECOND, () -> report(engine));
     }
 
     private void arrive(Demand demand) {
@@ -141,11 +143,15 @@
     }
 
     private void send(Job job) {
-        ContextCosts costs = new ContextCosts(shape.prefillTokensPerSecond(), 0, 0);
+        ContextCosts costs = new ContextCosts(parameters.prefillTokensPerSecond(), 0, 0);
         RoutingQuery query = job.demand.context() == 0
                 ? RoutingQuery.withoutAffinity(job.tried)
                 : new RoutingQuery(
-                        Affinity.CONTEXT, Hashing.mix(job.demand.context()), shape.contextTokens(), costs, job.tried);
+                        Affinity.CONTEXT,
+                        Hashing.mix(job.demand.context()),
+                        parameters.contextTokens(),
+                        costs,
+                        job.tried);
         Entry entry = job.entry;
         Route route = entry.policy.choose(query, entry.pool, now).orElse(null);
         if (route == null) {
@@ -159,28 +165,28 @@
         entry.policy.onDispatched(query, route, entry.pool, now);
         Engine engine = engines.get(entry.pool.targets().indexOf(route.target()));
         engine.jobs.add(job);
-        at(now + WAY_MICROS, () -> engine.take(job));
-        if (engine.dead) {
-            at(now + LOSS_SEEN_MICROS, () -> move(job));
+        schedule(now + NETWORK_DELAY_MICROS, () -> engine.enqueue(job));
+        if (engine.failed) {
+            schedule(now + LOSS_DETECTION_MICROS, () -> retry(job));
         }
     }
 
-    private void loseDomain() {
+    private void failDomain() {
         for (Engine engine : engines) {
-            if (engine.number % shape.domains() != 0) {
+            if (engine.number % parameters.domains() != 0) {
                 continue;
             }
-            engine.dead = true;
+            engine.failed = true;
             List<Job> cut = List.copyOf(engine.jobs);
-            at(now + LOSS_SEEN_MICROS, () -> {
+            schedule(now + LOSS_DETECTION_MICROS, () -> {
                 entries.forEach(entry -> entry.pool.targets().get(engine.number).markUnavailable());
-                cut.forEach(this::move);
+                cut.forEach(this::retry);
             });
         }
     }
 
-    /** Begins anew elsewhere if nothing of the answer had been sent. */
-    private void move(Job job) {
+    /** Retries a request at another engine unless a part of its answer was sent. */
+    private void retry(Job job) {
         if (job.firstToken) {
             lost++;
             running--;
@@ -219,7 +225,7 @@
         private final Map<Long, Boolean> cache = new LinkedHashMap<>(16, 0.75f, true);
         private int busy;
         private long prefillFreeMicros;
-        private boolean dead;
+        private boolean failed;
 
         Engine(int number) {
             this.number = number;
@@ -227,7 +233,7 @@
 
         private Frame.TargetState state() {
             long backlog = Math.max(0, prefillFreeMicros - now);
-            long queued = queue.isEmpty() ? 0 : (queue.size() + 1) * shape.decodeMicros() / shape.slots();
+            long queued = queue.isEmpty() ? 0 : (queue.size() + 1) * parameters.decodeMicros() / parameters.slots();
             return new Frame.TargetState(
                     new TargetName("target-" + number),
                     true,
@@ -235,22 +241,22 @@
                     queue.size(),
                     backlog + queued,
                     "v1",
-                    shape.prefillTokensPerSecond(),
+                    parameters.prefillTokensPerSecond(),
                     0);
         }
 
-        private void take(Job job) {
-            if (dead) {
+        private void enqueue(Job job) {
+            if (failed) {
                 return;
             }
             Route route = job.route;
-            at(now + WAY_MICROS, () -> route.target().accepted(route.contextMicros()));
+            schedule(now + NETWORK_DELAY_MICROS, () -> route.target().accepted(route.contextMicros()));
             queue.add(job);
             startNext();
         }
 
         private void startNext() {
-            while (busy < shape.slots() && !queue.isEmpty()) {
+            while (busy < parameters.slots() && !queue.isEmpty()) {
                 start(queue.poll());
             }
         }
@@ -259,38 +265,39 @@
             busy++;
             long context = job.demand.context();
             boolean cached = context == 0 || cache.get(context) != null;
-            int missing = cached ? 0 : shape.contextTokens();
+            int missing = cached ? 0 : parameters.contextTokens();
             if (context != 0) {
                 cache.put(context, true);
             }
-            if (cache.size() > shape.cachedContexts()) {
+            if (cache.size() > parameters.cachedContexts()) {
                 cache.remove(cache.keySet().iterator().next());
             }
-            long compute = (missing + shape.ownTokens()) * SECOND / shape.prefillTokensPerSecond();
+            long compute = (missing + parameters.ownTokens()) * MICROS_PER_SECOND / parameters.prefillTokensPerSecond();
             prefillFreeMicros = Math.max(now, prefillFreeMicros) + compute;
-            int tokens = (context == 0 ? 0 : shape.contextTokens()) + shape.ownTokens();
-            at(prefillFreeMicros, () -> firstToken(job, tokens, missing));
-            at(prefillFreeMicros + shape.decodeMicros(), () -> finish(job));
+            int tokens = (context == 0 ? 0 : parameters.contextTokens()) + parameters.ownTokens();
+            schedule(prefillFreeMicros, () -> firstToken(job, tokens, missing));
+            schedule(prefillFreeMicros + parameters.decodeMicros(), () -> finish(job));
         }
 
         private void firstToken(Job job, int tokens, int missing) {
-            if (dead) {
+            if (failed) {
                 return;
             }
             job.firstToken = true;
-            long arrived = job.demand.micros() + SECOND;
-            outcomes.add(new Outcome(arrived - SECOND, now + WAY_MICROS - arrived, tokens, missing));
+            long arrived = job.demand.micros() + MICROS_PER_SECOND;
+            outcomes.add(
+                    new Outcome(arrived - MICROS_PER_SECOND, now + NETWORK_DELAY_MICROS - arrived, tokens, missing));
         }
 
         private void finish(Job job) {
-            if (dead) {
+            if (failed) {
                 return;
             }
             busy--;
             running--;
             jobs.remove(job);
-            at(now + WAY_MICROS, () -> job.route.target().ended());
-            job.entry.pool.recordServiceTime(now - job.demand.micros() - SECOND);
+            schedule(now + NETWORK_DELAY_MICROS, () -> job.route.target().ended());
+            job.entry.pool.recordServiceTime(now - job.demand.micros() - MICROS_PER_SECOND);
             startNext();
         }
     }
