--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/InstanceList.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/InstanceList.java
@@ -12,53 +12,53 @@
 import org.rattanrudder.wire.http.HttpRequest;
 import org.rattanrudder.wire.http.HttpResult;
 
-/** Reads the platform's lagging list of instances. */
+/** Polls the platform's list of instances, which lags behind their actual state. */
 public final class InstanceList {
-    /** How often the list is worth reading, in milliseconds; it lags by more than that anyway. */
+    /** The polling interval; a shorter one gains nothing, since the list lags by more than that. */
     public static final long PERIOD_MILLIS = 2_000;
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final HttpCaller caller;
-    private final Address list;
+    private final Address address;
     private final Consumer<List<EntryEvent.ListedInstance>> listener;
 
     /**
-     * Makes a reader.
+     * Creates a reader.
      *
-     * @param caller makes the calls
-     * @param list where the list is served
-     * @param listener takes the list; not called when it can't be read, since the last one then still stands
+     * @param caller the HTTP client
+     * @param address the address of the service that serves the list
+     * @param listener receives each list; not called if the list can't be read, so that the last one stays valid
      */
-    public InstanceList(HttpCaller caller, Address list, Consumer<List<EntryEvent.ListedInstance>> listener) {
+    public InstanceList(HttpCaller caller, Address address, Consumer<List<EntryEvent.ListedInstance>> listener) {
         this.caller = caller;
-        this.list = list;
+        this.address = address;
         this.listener = listener;
     }
 
     /** Reads the list once. */
     public void poll() {
-        caller.fetch(list, HttpRequest.get("/instances")).thenAccept(this::take);
+        caller.fetch(address, HttpRequest.get("/instances")).thenAccept(this::onResult);
     }
 
-    private void take(HttpResult result) {
+    private void onResult(HttpResult result) {
         if (!(result instanceof HttpResult.Answered answered) || !answered.isSuccess()) {
             return;
         }
         try {
-            listener.accept(read(MAPPER.readTree(answered.body())));
+            listener.accept(parse(MAPPER.readTree(answered.body())));
         } catch (IOException | IllegalArgumentException malformed) {
-            // The list is only a hint: one that can't be read is like none.
+            // The list is only a hint, so a malformed one is ignored.
             return;
         }
     }
 
-    private static List<EntryEvent.ListedInstance> read(JsonNode answer) {
+    private static List<EntryEvent.ListedInstance> parse(JsonNode body) {
         List<EntryEvent.ListedInstance> instances = new ArrayList<>();
-        for (JsonNode each : answer.path("instances")) {
-            Address address = Address.parse(each.path("address").asText());
+        for (JsonNode each : body.path("instances")) {
+            Address instance = Address.parse(each.path("address").asText());
             instances.add(new EntryEvent.ListedInstance(
-                    address, each.path("state").asText().equals("leaving")));
+                    instance, each.path("state").asText().equals("leaving")));
         }
         return instances;
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogAppender.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogAppender.java
@@ -14,7 +14,7 @@
 import org.rattanrudder.wire.http.HttpTimeouts;
 import org.rattanrudder.wire.log.LogCodec;
 
-/** Appends batches to the platform's log, each once. */
+/** Appends batches to the platform's log, without retries. */
 public final class LogAppender {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final HttpTimeouts TIMEOUTS = new HttpTimeouts(1_000, 2_000, 1_000);
@@ -25,22 +25,22 @@
     private final Address log;
 
     /**
-     * Makes an appender.
+     * Creates an appender.
      *
-     * @param caller makes the calls
-     * @param log where the log listens
+     * @param caller the HTTP client
+     * @param log the address of the log service
      */
     public LogAppender(HttpCaller caller, Address log) {
         this.caller = caller;
         this.log = log;
     }
 
-    /** Appends a batch once and passes on what came of it. */
-    public void append(LogStream stream, LogBatch batch, Consumer<AppendResult> settled) {
+    /** Sends a batch once and passes the result to the listener. */
+    public void append(LogStream stream, LogBatch batch, Consumer<AppendResult> listener) {
         HttpRequest request = HttpRequest.of("POST", "/log/" + stream.wireName());
-        HttpRequest sent = new HttpRequest(
+        HttpRequest withBody = new HttpRequest(
                 request.method(), request.path(), request.headers(), LogCodec.encode(batch), false, TIMEOUTS);
-        caller.fetch(log, sent).thenAccept(result -> settled.accept(resultOf(result)));
+        caller.fetch(log, withBody).thenAccept(result -> listener.accept(resultOf(result)));
     }
 
     private static AppendResult resultOf(HttpResult result) {
@@ -49,14 +49,14 @@
         }
         HttpResult.Answered answered = (HttpResult.Answered) result;
         if (answered.isSuccess()) {
-            return appended(answered.body());
+            return parseAppended(answered.body());
         }
-        // Only these two are promised to have had no effect; any other answer leaves it open.
+        // Only these two statuses guarantee that nothing was appended; after any other the outcome is unknown.
         boolean refused = answered.status() == TOO_MANY_REQUESTS || answered.status() == UNAVAILABLE;
         return refused ? new AppendResult.Refused() : new AppendResult.Unknown();
     }
 
-    private static AppendResult appended(byte[] body) {
+    private static AppendResult parseAppended(byte[] body) {
         try {
             JsonNode offset = MAPPER.readTree(body).path("offset");
             return offset.canConvertToLong() ? new AppendResult.Appended(offset.asLong()) : new AppendResult.Unknown();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
@@ -18,12 +18,12 @@
 import org.rattanrudder.wire.http.HttpTimeouts;
 import org.rattanrudder.wire.log.LogCodec;
 
-/** Reads one stream of the platform's log, one long poll after another, from the oldest record on. */
+/** Follows one stream of the platform's log by long polling, from the oldest record on. */
 public final class LogFollower {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final int WAIT_MILLIS = 2_000;
-    private static final HttpTimeouts TIMEOUTS = new HttpTimeouts(1_000, WAIT_MILLIS + 1_000, 2_000);
-    private static final long RETRY_MILLIS = 250;
+    private static final int LONG_POLL_MILLIS = 2_000;
+    private static final HttpTimeouts TIMEOUTS = new HttpTimeouts(1_000, LONG_POLL_MILLIS + 1_000, 2_000);
+    private static final long RETRY_DELAY_MILLIS = 250;
 
     private final HttpCaller caller;
     private final ScheduledExecutorService timer;
@@ -31,28 +31,28 @@
     private final LogStream stream;
     private final Listener listener;
     private final Watch watch;
-    private long next = 1;
+    private long nextOffset = 1;
     private boolean caughtUp;
     private boolean failing;
 
-    /** Takes what was read. */
+    /** Receives the records that were read. */
     public interface Listener {
-        /** Records have been read; none if nothing new came for a while. */
+        /** Called for each page; the list is empty if there were no new records for a while. */
         void read(LogStream stream, List<LogRecord> records, boolean caughtUp);
 
-        /** The log couldn't be read; it is tried again. */
+        /** Called after a failed read, which is retried. */
         void readFailed(LogStream stream);
     }
 
-    /** Told when reading begins to fail, and when it goes on. */
+    /** Notified when reading starts to fail and when it works again. */
     public interface Watch {
-        /** The log can't be read since now, for this reason. */
+        /** Called for the first of a series of failed reads. */
         void lost(LogStream stream, String reason);
 
-        /** The log can be read again. */
+        /** Called for the first successful read after a failure. */
         void regained(LogStream stream);
 
-        /** Returns a watch that writes both to a log of events. */
+        /** Returns a watch that logs both to the event log. */
         static Watch writing(EventLog events) {
             return new Watch() {
                 @Override
@@ -69,14 +69,14 @@
     }
 
     /**
-     * Makes a follower that doesn't read yet.
+     * Creates a follower; it reads from the first call of {@link #poll} on.
      *
-     * @param caller makes the calls
-     * @param timer spaces out tries after a failure
-     * @param log where the log listens
+     * @param caller the HTTP client
+     * @param timer delays retries after a failure
+     * @param log the address of the log service
      * @param stream the stream to follow
-     * @param listener takes the records
-     * @param watch told of failures
+     * @param listener receives the records
+     * @param watch notified of failures
      */
     public LogFollower(
             HttpCaller caller,
@@ -93,47 +93,47 @@
         this.watch = watch;
     }
 
-    /** Reads on for as long as the caller and the timer live. */
+    /** Reads the next page, and then further ones until the caller or the timer is closed. */
     public void poll() {
-        // Until it has caught up once a reader must not wait: a process whose stream is empty would start late.
-        int waitMillis = caughtUp ? WAIT_MILLIS : 0;
-        String path = "/log/" + stream.wireName() + "?from=" + next + "&wait_millis=" + waitMillis;
-        caller.fetch(log, HttpRequest.get(path).within(TIMEOUTS)).thenAccept(this::take);
+        // No long poll before the first catch-up: it would delay the start of a process whose stream is empty.
+        int waitMillis = caughtUp ? LONG_POLL_MILLIS : 0;
+        String path = "/log/" + stream.wireName() + "?from=" + nextOffset + "&wait_millis=" + waitMillis;
+        caller.fetch(log, HttpRequest.get(path).within(TIMEOUTS)).thenAccept(this::onResult);
     }
 
-    private void take(HttpResult result) {
+    private void onResult(HttpResult result) {
         if (result instanceof HttpResult.Failed unanswered) {
-            failed(unanswered.detail());
+            onFailure(unanswered.detail());
             return;
         }
         HttpResult.Answered answered = (HttpResult.Answered) result;
         if (!answered.isSuccess()) {
-            failed("status " + answered.status());
+            onFailure("status " + answered.status());
             return;
         }
         try {
-            takePage(MAPPER.readTree(answered.body()));
+            onPage(MAPPER.readTree(answered.body()));
         } catch (IOException | IllegalArgumentException malformed) {
-            failed("malformed: " + malformed.getMessage());
+            onFailure("malformed: " + malformed.getMessage());
             return;
         }
         poll();
     }
 
-    private void takePage(JsonNode page) {
+    private void onPage(JsonNode page) {
         List<LogRecord> records = new ArrayList<>();
         for (JsonNode each : page.path("records")) {
             long offset = each.path("offset").asLong();
-            // A record before the one asked for was taken already.
-            if (offset >= next) {
+            // Records before the requested offset were passed on already.
+            if (offset >= nextOffset) {
                 byte[] data = Base64.getDecoder().decode(each.path("data").asText());
                 LogCodec.decode(data).ifPresent(batch -> records.add(new LogRecord(offset, batch)));
-                next = offset + 1;
+                nextOffset = offset + 1;
             }
         }
-        // What retention dropped can't be read any more: go on with the oldest that is kept.
-        next = Math.max(next, page.path("first").asLong());
-        caughtUp = next >= page.path("next").asLong();
+        // Records that retention dropped can't be read any more; continue with the oldest that is kept.
+        nextOffset = Math.max(nextOffset, page.path("first").asLong());
+        caughtUp = nextOffset >= page.path("next").asLong();
         if (failing) {
             failing = false;
             watch.regained(stream);
@@ -141,12 +141,12 @@
         listener.read(stream, records, caughtUp);
     }
 
-    private void failed(String reason) {
+    private void onFailure(String reason) {
         if (!failing) {
             failing = true;
             watch.lost(stream, reason);
         }
         listener.readFailed(stream);
-        timer.schedule(this::poll, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        timer.schedule(this::poll, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/package-info.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's services as a process meets them: the log and the list of instances. */
+/** Clients of the platform's services: the log and the list of instances. */
 package org.rattanrudder.daemon.platform;
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
@@ -48,33 +48,39 @@
     }
 
     /**
-     * A process applies a record twice, misses one for good or stops following, and lags behind the others.
-     * The log answers with records that were taken already, loses old ones to retention, or fails in between.
+     * A process must not apply a record twice, skip one or stop following when the log repeats records, drops old ones
+     * after their retention or fails in between.
      */
     @Test
     void recordsAreReadOnceAndInOrder() throws Exception {
         Queue<String> pages = new ArrayDeque<>(
                 List.of(page(1, 4, 1, 2), page(1, 4, 2, 3), "not JSON", page(20, 23, 20, 21, 22), page(20, 23)));
-        BlockingQueue<String> asked = new LinkedBlockingQueue<>();
-        BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-        BlockingQueue<String> told = new LinkedBlockingQueue<>();
-        try (TestServer log = new TestServer(exchange -> answer(exchange, asked, pages))) {
-            new LogFollower(caller, timer, log.address(), LogStream.CONFIGURATION, new Heard(heard), new Told(told))
+        BlockingQueue<String> queries = new LinkedBlockingQueue<>();
+        BlockingQueue<String> reads = new LinkedBlockingQueue<>();
+        BlockingQueue<String> statusChanges = new LinkedBlockingQueue<>();
+        try (TestServer log = new TestServer(exchange -> answer(exchange, queries, pages))) {
+            new LogFollower(
+                            caller,
+                            timer,
+                            log.address(),
+                            LogStream.CONFIGURATION,
+                            new RecordingListener(reads),
+                            new RecordingWatch(statusChanges))
                     .poll();
 
             List<String> expected =
                     List.of("[1, 2] false", "[3] true", "failed", "[20, 21, 22] true", "[] true", "failed");
             for (String each : expected) {
-                assertThat(heard.poll(SECONDS, TimeUnit.SECONDS))
-                        .as(() -> "lost and regained: " + told)
+                assertThat(reads.poll(SECONDS, TimeUnit.SECONDS))
+                        .as(() -> "watch events: " + statusChanges)
                         .isEqualTo(each);
             }
         }
-        assertThat(told).hasSize(3);
-        assertThat(told.poll()).startsWith("lost: malformed: ");
-        assertThat(told.poll()).isEqualTo("regained");
-        assertThat(told.poll()).isEqualTo("lost: status 503");
-        assertThat(asked.stream().limit(5))
+        assertThat(statusChanges).hasSize(3);
+        assertThat(statusChanges.poll()).startsWith("lost: malformed: ");
+        assertThat(statusChanges.poll()).isEqualTo("regained");
+        assertThat(statusChanges.poll()).isEqualTo("lost: status 503");
+        assertThat(queries.stream().limit(5))
                 .containsExactly(
                         "from=1&wait_millis=0",
                         "from=3&wait_millis=0",
@@ -83,8 +89,8 @@
                         "from=23&wait_millis=2000");
     }
 
-    private static void answer(HttpServerExchange exchange, BlockingQueue<String> asked, Queue<String> pages) {
-        asked.add(exchange.getQueryString());
+    private static void answer(HttpServerExchange exchange, BlockingQueue<String> queries, Queue<String> pages) {
+        queries.add(exchange.getQueryString());
         String page = pages.poll();
         if (page == null) {
             exchange.setStatusCode(503);
@@ -94,8 +100,8 @@
     }
 
     /**
-     * A log entry is doubled, or refused though it was appended.
-     * The log answers with an error, or with nothing. Cause: an unclear answer taken for a clear one.
+     * An ambiguous response must not count as appended or refused: the entry would be appended twice or reported as
+     * refused although it was appended.
      */
     @ParameterizedTest
     @CsvSource({
@@ -106,7 +112,7 @@
         "500, '', Unknown[]",
         "502, '', Unknown[]"
     })
-    void onlyAClearAnswerIsTakenAsOne(int status, String body, String expected) throws Exception {
+    void ambiguousResponseLeavesTheOutcomeUnknown(int status, String body, String expected) throws Exception {
         try (TestServer log = new TestServer(exchange -> {
             exchange.setStatusCode(status);
             exchange.getResponseSender().send(body);
@@ -116,7 +122,7 @@
     }
 
     @Test
-    void logThatCannotBeReachedRefuses() throws Exception {
+    void appendToAnUnreachableLogIsRefused() throws Exception {
         Address closed;
         try (TestServer log = new TestServer(exchange -> {})) {
             closed = log.address();
@@ -125,32 +131,32 @@
     }
 
     private AppendResult append(Address log) throws Exception {
-        CompletableFuture<AppendResult> settled = new CompletableFuture<>();
-        new LogAppender(caller, log).append(LogStream.CLAIMS, BATCH, settled::complete);
-        return settled.get(SECONDS, TimeUnit.SECONDS);
+        CompletableFuture<AppendResult> result = new CompletableFuture<>();
+        new LogAppender(caller, log).append(LogStream.CLAIMS, BATCH, result::complete);
+        return result.get(SECONDS, TimeUnit.SECONDS);
     }
 
-    private record Heard(BlockingQueue<String> heard) implements LogFollower.Listener {
+    private record RecordingListener(BlockingQueue<String> reads) implements LogFollower.Listener {
         @Override
         public void read(LogStream stream, List<LogRecord> records, boolean caughtUp) {
-            heard.add(records.stream().map(LogRecord::offset).toList() + " " + caughtUp);
+            reads.add(records.stream().map(LogRecord::offset).toList() + " " + caughtUp);
         }
 
         @Override
         public void readFailed(LogStream stream) {
-            heard.add("failed");
+            reads.add("failed");
         }
     }
 
-    private record Told(BlockingQueue<String> told) implements LogFollower.Watch {
+    private record RecordingWatch(BlockingQueue<String> statusChanges) implements LogFollower.Watch {
         @Override
         public void lost(LogStream stream, String reason) {
-            told.add("lost: " + reason);
+            statusChanges.add("lost: " + reason);
         }
 
         @Override
         public void regained(LogStream stream) {
-            told.add("regained");
+            statusChanges.add("regained");
         }
     }
 }
