--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/Closer.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/Closer.java
@@ -4,19 +4,19 @@
 import java.util.Deque;
 import org.jboss.logging.Logger;
 
-/** Gathers resources as they are opened and closes them in the reverse order, each whatever becomes of the others. */
+/** Closes resources in the reverse order of their registration, also if closing one of them fails. */
 public final class Closer implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(Closer.class);
 
     private final Deque<AutoCloseable> resources = new ArrayDeque<>();
 
-    /** Adds a resource and returns it. */
+    /** Registers a resource and returns it. */
     public <T extends AutoCloseable> T add(T resource) {
         resources.push(resource);
         return resource;
     }
 
-    /** Closes all that was added, the last first. A second call does nothing. */
+    /** Closes all registered resources, the last one first. A second call does nothing. */
     @Override
     public void close() {
         while (!resources.isEmpty()) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/Drain.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/Drain.java
@@ -5,23 +5,23 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** Waits for a machine to say that it is drained, and for what it sent last to be on its way. */
+/** Waits until a state machine has drained and its last answers have been sent. */
 public final class Drain {
     private static final long POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
     private final CountDownLatch drained = new CountDownLatch(1);
 
-    /** Says that the machine has finished. */
+    /** Marks the state machine as drained. */
     public void finished() {
         drained.countDown();
     }
 
     /**
-     * Waits until the machine has finished and its last answers have left the process.
+     * Waits until the state machine has drained and its last answers have left the process.
      *
-     * @param seconds the longest time to wait
-     * @param unsent whether answers still wait to be sent
-     * @return whether all of that happened in time
+     * @param seconds the timeout
+     * @param unsent returns whether answers are still waiting to be sent
+     * @return whether all of it finished before the timeout
      */
     public boolean await(int seconds, BooleanSupplier unsent) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/MachineLoop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/MachineLoop.java
@@ -18,8 +18,8 @@
 import org.rattanrudder.core.StateMachine;
 
 /**
- * The ring of a process: I/O threads publish events, one handler thread gives them to the machine and carries out the
- * effects.
+ * The event loop of a process: I/O threads publish events to a ring buffer; a single handler thread passes them to the
+ * state machine and executes the resulting effects.
  *
  * <pre>{@code
  * MachineLoop<EntryEvent, EntryEffect> loop = new MachineLoop<>(machine, clock, MachineLoop.RING_SIZE);
@@ -27,90 +27,90 @@
  * loop.publish(new EntryEvent.Tick());
  * }</pre>
  *
- * @param <V> the machine's events
- * @param <F> the machine's effects
+ * @param <V> the state machine's events
+ * @param <F> the state machine's effects
  */
 public final class MachineLoop<V, F> implements AutoCloseable {
-    /** How many events may wait in the ring of a process. */
+    /** The capacity of a process's ring buffer, in events. */
     public static final int RING_SIZE = 4_096;
-    /** How often a process publishes a tick, in milliseconds. */
+    /** The interval at which a process publishes ticks. */
     public static final long TICK_MILLIS = 50;
 
     private static final Logger LOG = Logger.getLogger(MachineLoop.class);
-    private static final long CLOSE_SECONDS = 2;
+    private static final long CLOSE_TIMEOUT_SECONDS = 2;
     private static final BooleanSupplier ALWAYS = () -> true;
 
     private final StateMachine<V, F> machine;
     private final LongSupplier clock;
     private final Disruptor<Slot<V>> disruptor;
     private final RingBuffer<Slot<V>> ring;
-    private final Queue<V> fromHandler = new ArrayDeque<>();
+    private final Queue<V> handlerEvents = new ArrayDeque<>();
     private volatile Thread handlerThread;
     private Consumer<? super F> effects;
 
     /**
-     * Makes a loop that doesn't run yet.
+     * Creates a loop; it handles events from {@link #start} on.
      *
-     * @param machine the machine, from now on touched by the handler thread alone
-     * @param clock the machine's time in microseconds
-     * @param ringSize how many events may wait, a power of two
+     * @param machine the state machine; from now on only the handler thread may access it
+     * @param clock the state machine's clock, in microseconds
+     * @param ringSize the capacity in events, a power of two
      */
     public MachineLoop(StateMachine<V, F> machine, LongSupplier clock, int ringSize) {
         this.machine = machine;
         this.clock = clock;
-        // A blocking wait costs a wake-up for an event that finds the handler idle, but no processor time while idle;
-        // spinning and yielding take a whole core. docs/design/processes.md has the figures.
+        // The blocking strategy costs a wake-up when an event arrives at an idle handler, but uses no CPU while idle;
+        // spinning and yielding occupy a whole core. docs/design/processes.md has the figures.
         disruptor = new Disruptor<>(
                 Slot::new, ringSize, DaemonThreadFactory.INSTANCE, ProducerType.MULTI, new BlockingWaitStrategy());
         ring = disruptor.getRingBuffer();
     }
 
     /**
-     * Begins to handle events.
+     * Starts handling events.
      *
-     * @param carryOut carries out each effect, on the handler thread; must not block
+     * @param executor executes each effect on the handler thread; must not block
      */
-    public void start(Consumer<? super F> carryOut) {
-        effects = carryOut;
+    public void start(Consumer<? super F> executor) {
+        effects = executor;
         EventHandler<Slot<V>> handler = (slot, sequence, endOfBatch) -> handle(slot);
         disruptor.handleEventsWith(handler);
         disruptor.setDefaultExceptionHandler(new LoggingExceptionHandler());
         disruptor.start();
     }
 
-    /** Publishes an event; waits while the ring is full, which is how a busy handler slows down its I/O threads. */
+    /** Publishes an event; blocks while the ring is full, as back-pressure of a busy handler on I/O threads. */
     public void publish(V event) {
         publish(event, ALWAYS);
     }
 
     /**
-     * Publishes an event that is dropped if it is no longer wanted when its turn comes, such as a frame of a link that
-     * was closed meanwhile.
+     * Publishes an event that is dropped if the condition is false when the event is handled, such as a frame of a link
+     * that has been closed in the meantime.
      */
-    public void publish(V event, BooleanSupplier stillWanted) {
+    public void publish(V event, BooleanSupplier condition) {
         if (Thread.currentThread() == handlerThread) {
-            // Waiting for a place in the ring here would wait for this very thread.
-            fromHandler.add(event);
+            // Only this thread frees slots of the ring, so waiting for one here would deadlock.
+            handlerEvents.add(event);
             return;
         }
-        ring.publishEvent((slot, sequence) -> slot.set(event, stillWanted));
+        ring.publishEvent((slot, sequence) -> slot.set(event, condition));
     }
 
-    /** Publishes an event unless the ring is full, for events such as ticks that will come again. */
+    /** Publishes an event unless the ring is full; for events such as ticks, which are repeated anyway. */
     public void offer(V event) {
         ring.tryPublishEvent((slot, sequence) -> slot.set(event, ALWAYS));
     }
 
-    /** Returns how many events wait, for metrics. */
+    /** Returns the number of queued events, for metrics. */
     public long waiting() {
         return ring.getBufferSize() - ring.remainingCapacity();
     }
 
-    /** Handles what was published and ends the handler thread. */
+    /** Handles the events that were published and stops the handler thread. */
     @Override
     public void close() {
         try {
-            disruptor.shutdown(CLOSE_SECONDS, TimeUnit.SECONDS);
+            disruptor.shutdown(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (TimeoutException late) {
             LOG.warn("event=ring_not_empty_at_end");
             disruptor.halt();
@@ -120,28 +120,28 @@
     private void handle(Slot<V> slot) {
         handlerThread = Thread.currentThread();
         V event = slot.event;
-        BooleanSupplier wanted = slot.wanted;
+        BooleanSupplier condition = slot.condition;
         slot.set(null, ALWAYS);
-        if (!wanted.getAsBoolean()) {
+        if (!condition.getAsBoolean()) {
             return;
         }
-        for (V next = event; next != null; next = fromHandler.poll()) {
+        for (V next = event; next != null; next = handlerEvents.poll()) {
             machine.handle(next, clock.getAsLong(), effects);
         }
     }
 
-    /** One place in the ring. */
+    /** A slot of the ring buffer. */
     private static final class Slot<V> {
         private V event;
-        private BooleanSupplier wanted = ALWAYS;
+        private BooleanSupplier condition = ALWAYS;
 
-        void set(V newEvent, BooleanSupplier stillWanted) {
+        void set(V newEvent, BooleanSupplier condition) {
             event = newEvent;
-            wanted = stillWanted;
+            this.condition = condition;
         }
     }
 
-    /** Shows a fault in a machine or an adapter, and goes on: without a handler thread all would hang for good. */
+    /** Logs a failure in a machine or an effect and continues: without the handler thread, all would hang. */
     private final class LoggingExceptionHandler implements ExceptionHandler<Slot<V>> {
         @Override
         public void handleEventException(Throwable failure, long sequence, Slot<V> slot) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/MonotonicClock.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/MonotonicClock.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** Microseconds since the process began, never less than before and untouched by changes of the wall clock. */
+/** A monotonic clock: microseconds since its creation, not affected by changes of the wall clock. */
 public final class MonotonicClock implements LongSupplier {
     private final long startNanos = System.nanoTime();
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/ProcessThreads.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/ProcessThreads.java
@@ -14,18 +14,18 @@
 import org.xnio.XnioWorker;
 
 /**
- * The threads of a process besides its handler: HTTP, links, and one timer.
+ * The threads of a process other than its handler thread: HTTP, links and a timer.
  *
- * @param worker carries HTTP in both directions
- * @param links carries the links to other processes
- * @param timer runs short tasks at their time
- * @param caller makes HTTP calls on the worker's threads
+ * @param worker the I/O threads of the HTTP servers and clients
+ * @param links the event loop of the links to other processes
+ * @param timer runs short scheduled tasks
+ * @param caller the HTTP client, which runs on the worker's threads
  */
 public record ProcessThreads(XnioWorker worker, EventLoopGroup links, ScheduledExecutorService timer, HttpCaller caller)
         implements AutoCloseable {
-    private static final long CLOSE_MILLIS = 1_000;
+    private static final long CLOSE_TIMEOUT_MILLIS = 1_000;
 
-    /** Starts the threads, so many of them for HTTP. */
+    /** Starts the threads, with the given number of HTTP I/O threads. */
     public static ProcessThreads start(int httpThreads) throws IOException {
         OptionMap options = OptionMap.builder()
                 .set(Options.WORKER_NAME, "http")
@@ -38,7 +38,7 @@
                 Xnio.getInstance(ProcessThreads.class.getClassLoader()).createWorker(options);
         ScheduledThreadPoolExecutor timer = new ScheduledThreadPoolExecutor(1, ProcessThreads::timerThread);
         timer.setRemoveOnCancelPolicy(true);
-        // After shutdown a reader that schedules its next try is refused silently.
+        // Ignores the retries that readers still schedule after the shutdown.
         timer.setRejectedExecutionHandler((task, executor) -> {});
         return new ProcessThreads(
                 worker,
@@ -47,7 +47,7 @@
                 HttpCaller.on(worker));
     }
 
-    /** Runs a task again and again. */
+    /** Runs a task at a fixed rate. */
     public void every(long millis, Runnable task) {
         timer.scheduleAtFixedRate(task, millis, millis, TimeUnit.MILLISECONDS);
     }
@@ -56,7 +56,7 @@
     public void close() {
         timer.shutdownNow();
         caller.close();
-        links.shutdownGracefully(0, CLOSE_MILLIS, TimeUnit.MILLISECONDS);
+        links.shutdownGracefully(0, CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         worker.shutdownNow();
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/RunningProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/RunningProcess.java
@@ -2,15 +2,15 @@
 
 import org.rattanrudder.core.model.Address;
 
-/** An entry or a companion that runs. */
+/** A running entry, companion or relay. */
 public interface RunningProcess extends AutoCloseable {
-    /** Returns where it serves HTTP. */
+    /** Returns the address of its HTTP server. */
     Address http();
 
     /**
-     * Asks it to take no new work and to finish what runs, and waits until it has.
+     * Stops accepting new work and waits until running work has finished.
      *
-     * @return whether all was finished within the time that the settings give
+     * @return whether everything finished within the time allowed by the settings
      */
     boolean drain() throws InterruptedException;
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/package-info.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/package-info.java
@@ -1,2 +1,2 @@
-/** One ring, one handler thread that owns a machine, and what both need: time, ticks and an orderly end. */
+/** The event loop that runs a state machine on one handler thread, its clock, its timer and its shutdown. */
 package org.rattanrudder.daemon.loop;
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/loop/MachineLoopTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/loop/MachineLoopTest.java
@@ -13,10 +13,10 @@
 class MachineLoopTest {
     private static final int SECONDS = 10;
 
-    private final BlockingQueue<String> carriedOut = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> executed = new LinkedBlockingQueue<>();
 
     private String next() throws InterruptedException {
-        return carriedOut.poll(SECONDS, TimeUnit.SECONDS);
+        return executed.poll(SECONDS, TimeUnit.SECONDS);
     }
 
     private static MachineLoop<String, String> loop(StateMachine<String, String> machine, int ringSize) {
@@ -26,7 +26,7 @@
     @Test
     void eventsAreHandledInTheOrderOfPublication() throws Exception {
         try (MachineLoop<String, String> loop = loop((event, now, effects) -> effects.accept(event), 4)) {
-            loop.start(carriedOut::add);
+            loop.start(executed::add);
             for (int index = 0; index < 100; index++) {
                 loop.publish("event " + index);
             }
@@ -37,18 +37,17 @@
     }
 
     /**
-     * The process stops for good under load: nothing is handled any more.
-     * The ring is full, and carrying out an effect publishes an event. Cause: the handler thread waits for a place that
-     * only it can free.
+     * An effect that publishes an event while the ring is full must not deadlock the handler thread, which would wait
+     * for a slot that only it can free. The process would handle nothing any more.
      */
     @Test
-    void handlerThatPublishesIntoAFullRingGoesOn() throws Exception {
+    void handlerThatPublishesToAFullRingDoesNotDeadlock() throws Exception {
         AtomicReference<MachineLoop<String, String>> self = new AtomicReference<>();
         CountDownLatch full = new CountDownLatch(1);
         try (MachineLoop<String, String> loop = loop((event, now, effects) -> effects.accept(event), 2)) {
             self.set(loop);
             loop.start(effect -> {
-                carriedOut.add(effect);
+                executed.add(effect);
                 if (effect.equals("first")) {
                     await(full);
                     self.get().publish("from the handler");
@@ -65,19 +64,19 @@
     }
 
     /**
-     * One malformed event ends the process's work, though the process lives and looks healthy.
-     * Cause: an exception in the machine ends the handler thread.
+     * An exception in the state machine must not end the handler thread: the process would look healthy but handle no
+     * further event.
      */
     @Test
-    void eventThatFailsDoesNotEndTheLoop() throws Exception {
+    void failingEventDoesNotEndTheLoop() throws Exception {
         StateMachine<String, String> machine = (event, now, effects) -> {
             if (event.isEmpty()) {
-                throw new IllegalStateException("seen in the test's log");
+                throw new IllegalStateException("expected in the test's log");
             }
             effects.accept(event);
         };
         try (MachineLoop<String, String> loop = loop(machine, 4)) {
-            loop.start(carriedOut::add);
+            loop.start(executed::add);
             loop.publish("");
             loop.publish("next");
 
@@ -86,9 +85,9 @@
     }
 
     @Test
-    void eventThatIsNoLongerWantedIsDropped() throws Exception {
+    void eventWhoseConditionIsFalseIsDropped() throws Exception {
         try (MachineLoop<String, String> loop = loop((event, now, effects) -> effects.accept(event), 4)) {
-            loop.start(carriedOut::add);
+            loop.start(executed::add);
             loop.publish("dropped", () -> false);
             loop.publish("kept", () -> true);
 
