--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/EventLog.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/EventLog.java
@@ -8,52 +8,52 @@
 import org.rattanrudder.core.model.ErrorKind;
 
 /**
- * Writes events to the log, so many a second for each kind of event; what is left out is counted and said.
+ * Writes events to the log, with a rate limit for each kind of event; the number of dropped lines is logged too.
  *
  * <pre>{@code
  * log.info("request_ended", "request", id, "status", "200");
  * }</pre>
  */
 public final class EventLog {
-    /** How many lines of one kind of event are written in a second. */
+    /** The maximum number of lines a second for one kind of event. */
     public static final int LINES_PER_SECOND = 200;
 
     private static final long SECOND_MICROS = 1_000_000;
 
     private final Logger logger;
     private final LongSupplier clock;
-    private final Map<String, Budget> budgets = new HashMap<>();
+    private final Map<String, RateLimit> rateLimits = new HashMap<>();
 
     /**
-     * Makes a log.
+     * Creates an event log.
      *
-     * @param logger where the lines go
-     * @param clock microseconds, monotonic
+     * @param logger the logger that lines are written to
+     * @param clock a monotonic clock, in microseconds
      */
     public EventLog(Logger logger, LongSupplier clock) {
         this.logger = logger;
         this.clock = clock;
     }
 
-    /** Writes an event of ordinary work. */
+    /** Logs an event of normal operation. */
     public void info(String event, String... fields) {
         write(ErrorKind.Severity.INFO, event, List.of(fields));
     }
 
-    /** Writes an event that is worth an operator's look when frequent. */
+    /** Logs an event that an operator should look into if it is frequent. */
     public void warn(String event, String... fields) {
         write(ErrorKind.Severity.WARN, event, List.of(fields));
     }
 
     /**
-     * Writes an event.
+     * Logs an event.
      *
-     * @param severity its level
-     * @param event a fixed word for it
-     * @param fields key, value, key, value and so on; never prompts or secrets
+     * @param severity the log level
+     * @param event the fixed name of the event
+     * @param fields alternating keys and values; never prompts or secrets
      */
     public void write(ErrorKind.Severity severity, String event, List<String> fields) {
-        long dropped = take(event);
+        long dropped = acquire(event);
         if (dropped < 0) {
             return;
         }
@@ -69,20 +69,20 @@
         }
     }
 
-    /** Returns how many lines were dropped before this one, or -1 if this one is to be dropped too. */
-    private synchronized long take(String event) {
-        // Under a flood of refusals, writing every line would cost more than refusing and fill the log's disk.
-        return budgets.computeIfAbsent(event, unseen -> new Budget()).take(clock.getAsLong());
+    /** Returns the number of lines dropped before this one, or -1 if this one has to be dropped too. */
+    private synchronized long acquire(String event) {
+        // Under a flood of refusals, logging each one would cost more than the refusal itself and fill the log's disk.
+        return rateLimits.computeIfAbsent(event, key -> new RateLimit()).acquire(clock.getAsLong());
     }
 
-    private static final class Budget {
-        private long secondBegan;
+    private static final class RateLimit {
+        private long secondStartMicros;
         private int written;
         private long dropped;
 
-        long take(long nowMicros) {
-            if (nowMicros - secondBegan >= SECOND_MICROS) {
-                secondBegan = nowMicros;
+        long acquire(long nowMicros) {
+            if (nowMicros - secondStartMicros >= SECOND_MICROS) {
+                secondStartMicros = nowMicros;
                 written = 0;
             }
             if (written >= LINES_PER_SECOND) {
@@ -90,9 +90,9 @@
                 return -1;
             }
             written++;
-            long before = dropped;
+            long droppedBefore = dropped;
             dropped = 0;
-            return before;
+            return droppedBefore;
         }
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/KeyValueFormatter.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/KeyValueFormatter.java
@@ -6,7 +6,7 @@
 import java.util.logging.Formatter;
 import java.util.logging.LogRecord;
 
-/** Writes a log record as one line: time, level, logger and the message, which is key=value pairs itself. */
+/** Formats a log record as one line of key=value pairs: time, level, logger and the pairs of the message. */
 public final class KeyValueFormatter extends Formatter {
     @Override
     public String format(LogRecord line) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/LastingLogManager.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/LastingLogManager.java
@@ -3,14 +3,14 @@
 import java.util.logging.LogManager;
 
 /**
- * Keeps the log's handlers until the process ends.
+ * A log manager that keeps its handlers until the process ends.
  *
- * <p>The JDK's manager takes all handlers away as soon as a shutdown begins, so what happens while the process drains,
- * which may take half a minute, would go unlogged.
+ * <p>The JDK's log manager removes all handlers as soon as a shutdown starts, so that nothing would be logged while the
+ * process drains, which may take half a minute.
  */
 public final class LastingLogManager extends LogManager {
     @Override
     public void reset() {
-        // Called by the JDK's shutdown hook; Logging sets the handlers up itself.
+        // Called by the JDK's shutdown hook. Logging sets up the handlers itself.
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/LogFields.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/LogFields.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** Writes key=value pairs so that each line can be taken apart again, whatever a value holds. */
+/** Formats key=value pairs, quoted so that a line can be parsed whatever its values contain. */
 final class LogFields {
-    private static final int LONGEST_VALUE = 2_000;
+    private static final int MAX_VALUE_CHARS = 2_000;
 
     private LogFields() {}
 
-    /** Returns {@code event=word key=value ...} from key, value, key, value and so on. */
+    /** Returns {@code event=name key=value ...}; the fields are alternating keys and values. */
     static String line(String event, List<String> fields) {
         StringBuilder line = new StringBuilder("event=").append(quote(event));
         for (int index = 0; index + 1 < fields.size(); index += 2) {
@@ -17,14 +17,14 @@
         return line.toString();
     }
 
-    /** Returns the value as it is if it is plain, else in quotes with line ends and quotes escaped. */
+    /** Returns the value unchanged if it needs no quotes, else quoted, with line ends and quotes escaped. */
     static String quote(String value) {
-        String bounded = value.length() <= LONGEST_VALUE ? value : value.substring(0, LONGEST_VALUE) + "...";
-        if (!bounded.isEmpty() && bounded.chars().allMatch(LogFields::isPlain)) {
-            return bounded;
+        String truncated = value.length() <= MAX_VALUE_CHARS ? value : value.substring(0, MAX_VALUE_CHARS) + "...";
+        if (!truncated.isEmpty() && truncated.chars().allMatch(LogFields::isPlain)) {
+            return truncated;
         }
         StringBuilder quoted = new StringBuilder("\"");
-        for (char each : bounded.toCharArray()) {
+        for (char each : truncated.toCharArray()) {
             append(quoted, each);
         }
         return quoted.append('"').toString();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/Logging.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/Logging.java
@@ -8,31 +8,31 @@
 import java.util.logging.Logger;
 import java.util.stream.Stream;
 
-/** Sets up JDK logging, which JBoss Logging writes to: one line an event on standard output. */
+/** Configures JDK logging, the back end of JBoss Logging, to write one line per event to standard output. */
 public final class Logging {
     private Logging() {}
 
-    /** Replaces the log manager and the root logger's handlers; to be called before anything is logged. */
+    /** Replaces the log manager and the root logger's handlers; must be called before anything is logged. */
     public static void install() {
-        // The name is a constant: touching the class here would start the JDK's own manager before this is read.
+        // The class literal doesn't initialize the class: that would start the JDK's own manager before it reads this.
         System.setProperty("java.util.logging.manager", LastingLogManager.class.getName());
         Loggers.configure();
     }
 
-    /** Writes what still waits; to be called before the process ends without the JDK's own shutdown. */
+    /** Writes the queued lines; must be called before the process halts without the JDK's shutdown. */
     public static void flush() {
         for (Handler handler : Loggers.ROOT.getHandlers()) {
             handler.flush();
         }
     }
 
-    /** Begins with the first use, after the log manager is chosen. */
+    /** Initialized on first use, after the log manager has been chosen. */
     private static final class Loggers {
         private static final Logger ROOT = Logger.getLogger("");
 
         /**
-         * Libraries tell of each connection that a peer resets; our own lines say what matters of it. Kept here, since
-         * the JDK forgets a logger's level as soon as nobody holds the logger.
+         * Loggers of libraries that log each connection reset by a peer, which the daemon logs itself where it matters.
+         * They are referenced here because the JDK holds loggers weakly and a collected logger loses its level.
          */
         private static final List<Logger> NOISY = Stream.of("io.undertow", "org.xnio", "io.netty", "org.jboss.threads")
                 .map(Logger::getLogger)
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/RingHandler.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/RingHandler.java
@@ -15,26 +15,26 @@
 import java.util.logging.LogRecord;
 
 /**
- * Hands lines over to a thread that writes them, so that nothing waits for whoever reads the log.
+ * Writes log lines on a separate thread, so that no other thread waits for the reader of the log.
  *
- * <p>A reader that stalls would otherwise stop the event loop in the middle of a request. Lines wait in a ring of fixed
- * size; when it is full, further ones are dropped, and their number is written as soon as there is room. The writer
- * looks every few milliseconds in place of being woken for each line: a wake-up costs more than the line.
+ * <p>Otherwise a stalled reader would block the event loop in the middle of a request. Lines are queued in a ring of
+ * fixed size; when it is full, further lines are dropped, and their number is logged as soon as there is room. The
+ * writer polls the ring instead of being woken for each line, since a wake-up costs more than writing the line.
  */
 final class RingHandler extends Handler {
-    /** Lines that wait at most, about a second of the highest rate that is allowed. */
-    private static final int LINES = 4_096;
+    /** The maximum number of queued lines, about one second at the highest permitted rate. */
+    private static final int RING_SIZE = 4_096;
 
-    private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
+    private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
 
-    private final RingBuffer<Slot> ring = RingBuffer.createMultiProducer(Slot::new, LINES);
+    private final RingBuffer<Slot> ring = RingBuffer.createMultiProducer(Slot::new, RING_SIZE);
     private final EventPoller<Slot> poller = ring.newPoller();
     private final AtomicLong dropped = new AtomicLong();
     private final PrintStream out;
     private final Thread writer;
     private volatile boolean closed;
 
-    /** One place of the ring. */
+    /** A slot of the ring buffer. */
     private static final class Slot {
         private LogRecord line;
     }
@@ -53,7 +53,7 @@
         if (closed || !isLoggable(line)) {
             return;
         }
-        if (!ring.tryPublishEvent((slot, sequence, given) -> slot.line = given, line)) {
+        if (!ring.tryPublishEvent((slot, sequence, published) -> slot.line = published, line)) {
             dropped.incrementAndGet();
         }
     }
@@ -61,7 +61,7 @@
     private void write() {
         while (!closed) {
             drain();
-            LockSupport.parkNanos(LOOK_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 
@@ -73,11 +73,11 @@
                 return true;
             });
         } catch (Exception failed) {
-            reportError("lines lost", failed, ErrorManager.WRITE_FAILURE);
+            reportError("can't write log lines", failed, ErrorManager.WRITE_FAILURE);
         }
-        long lost = dropped.getAndSet(0);
-        if (lost > 0) {
-            out.print(getFormatter().format(new LogRecord(Level.WARNING, "event=lines_dropped count=" + lost)));
+        long droppedCount = dropped.getAndSet(0);
+        if (droppedCount > 0) {
+            out.print(getFormatter().format(new LogRecord(Level.WARNING, "event=lines_dropped count=" + droppedCount)));
         }
         out.flush();
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/package-info.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/logging/package-info.java
@@ -1,2 +1,2 @@
-/** Log lines: key=value pairs, one line an event, limited in rate. */
+/** Event logging: one rate-limited line of key=value pairs per event. */
 package org.rattanrudder.daemon.logging;
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/logging/EventLogTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/logging/EventLogTest.java
@@ -18,23 +18,23 @@
     private static final String NAME = "org.rattanrudder.EventLogTest";
 
     private final Logger logger = Logger.getLogger(NAME);
-    private final Lines lines = new Lines();
+    private final RecordingHandler lines = new RecordingHandler();
     private final AtomicLong nowMicros = new AtomicLong(5_000_000);
     private final EventLog log = new EventLog(org.jboss.logging.Logger.getLogger(NAME), nowMicros::get);
 
     @BeforeEach
-    void listen() {
+    void addHandler() {
         logger.addHandler(lines);
         logger.setUseParentHandlers(false);
     }
 
     @AfterEach
-    void stop() {
+    void removeHandler() {
         logger.removeHandler(lines);
     }
 
     @Test
-    void eventIsOneLineOfPairs() {
+    void eventIsLoggedAsOneLineOfKeyValuePairs() {
         log.info("request_ended", "request", "1f-12", "detail", "two words");
 
         assertThat(lines.texts)
@@ -45,24 +45,24 @@
     }
 
     /**
-     * A log line says that an event happened which never did.
-     * A caller puts a line end and key=value pairs into a value that is logged. Cause: values written as they come.
+     * A caller that puts a line end and key=value pairs into a logged value must not be able to forge the log line of
+     * an event that never happened.
      */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {"plain|plain", "a=b|\"a=b\"", "quote\"d|\"quote\\\"d\"", "''|\"\""})
-    void valueCannotForgeALine(String value, String written) {
+    void valueCannotForgeALogLine(String value, String written) {
         assertThat(LogFields.quote(value)).isEqualTo(written);
         assertThat(LogFields.quote(value + "\nevent=forged")).doesNotContain("\n");
     }
 
     /**
-     * The log's disk fills up and the process spends its time on lines.
-     * A thousand requests a second are refused. Cause: one line for each without a bound.
+     * A flood of events, such as a thousand refusals a second, must not fill the log's disk or use up the process's CPU
+     * time for logging.
      */
     @Test
-    void floodIsCutAndSaid() {
+    void floodIsRateLimitedAndDroppedLinesAreCounted() {
         for (int index = 0; index < EventLog.LINES_PER_SECOND + 30; index++) {
             log.info("request_refused");
         }
@@ -77,7 +77,7 @@
                 .contains("event=lines_dropped dropped_event=request_refused count=30");
     }
 
-    private static final class Lines extends Handler {
+    private static final class RecordingHandler extends Handler {
         private final List<String> texts = new ArrayList<>();
         private final KeyValueFormatter formatter = new KeyValueFormatter();
 
