--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/metrics/CompanionMetrics.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/metrics/CompanionMetrics.java
@@ -7,7 +7,7 @@
 import java.util.function.LongSupplier;
 import org.rattanrudder.core.companion.CompanionEvent;
 
-/** What a companion counts, from the events that pass its handler. */
+/** The metrics of a companion, updated from the events of its state machine. */
 public final class CompanionMetrics {
     private final PrometheusRegistry registry;
     private final Counter answers;
@@ -26,7 +26,7 @@
         gaps = counter("rattanrudder_cache_event_gaps", "Gaps in the cache events of engines");
     }
 
-    /** Adds a value that is read when metrics are asked for. */
+    /** Registers a gauge whose value is read on each scrape. */
     public void gauge(String name, String help, LongSupplier value) {
         GaugeWithCallback.builder()
                 .name(name)
@@ -35,23 +35,23 @@
                 .register(registry);
     }
 
-    /** Counts an event. */
+    /** Updates the metrics for an event. */
     public void count(CompanionEvent event) {
         if (event instanceof CompanionEvent.TargetAnswerEnded) {
             answers.labelValues("whole").inc();
         } else if (event instanceof CompanionEvent.TargetFailed failed) {
             answers.labelValues(failed.nothingSent() ? "not_sent" : "broken").inc();
         } else if (event instanceof CompanionEvent.MoveEnded ended) {
-            moves.labelValues(word(ended.outcome())).inc();
+            moves.labelValues(label(ended.outcome())).inc();
             movedBytes.inc(ended.bytes());
         } else if (event instanceof CompanionEvent.OrderAnswered answered) {
-            orders.labelValues(word(answered.outcome())).inc();
+            orders.labelValues(label(answered.outcome())).inc();
         } else if (event instanceof CompanionEvent.CacheEventsReported reported && reported.gap()) {
             gaps.inc();
         }
     }
 
-    private static String word(Enum<?> outcome) {
+    private static String label(Enum<?> outcome) {
         return outcome.name().toLowerCase(Locale.ROOT);
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/metrics/EntryMetrics.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/metrics/EntryMetrics.java
@@ -10,10 +10,10 @@
 import org.rattanrudder.core.entry.RequestSummary;
 import org.rattanrudder.core.model.ErrorKind;
 
-/** What an entry counts. Labels come from documents and closed lists, never from callers. */
+/** The metrics of an entry. Label values come from documents and fixed sets, never from callers. */
 public final class EntryMetrics {
     private static final double MICROS_PER_SECOND = 1e6;
-    private static final double[] FIRST_BYTE_SECONDS = {
+    private static final double[] FIRST_BYTE_BUCKETS_SECONDS = {
         0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.38, 0.5, 0.75, 1, 1.5, 2, 3, 5, 10, 20, 60, 120
     };
 
@@ -34,7 +34,7 @@
                 .help("Time from a request's arrival to the first byte of its answer")
                 .labelNames("service", "class")
                 .classicOnly()
-                .classicUpperBounds(FIRST_BYTE_SECONDS)
+                .classicUpperBounds(FIRST_BYTE_BUCKETS_SECONDS)
                 .register(registry);
         requests = counter("rattanrudder_requests", "Requests that ended, by outcome", "service", "class", "outcome");
         refusals = counter("rattanrudder_refusals", "Requests that ended with an error, by its kind", "kind");
@@ -45,7 +45,7 @@
                 counter("rattanrudder_fetched_bytes", "Bytes of context fetched for answered prompts", "service");
     }
 
-    /** Adds a value that is read when metrics are asked for. */
+    /** Registers a gauge whose value is read on each scrape. */
     public void gauge(String name, String help, LongSupplier value) {
         GaugeWithCallback.builder()
                 .name(name)
@@ -54,16 +54,16 @@
                 .register(registry);
     }
 
-    /** Counts an ended request; the class is empty if the request wasn't admitted to one. */
-    public void record(RequestSummary summary, Optional<RequestClass> objective) {
+    /** Records a request that ended; the class is empty if the request was refused before its class was known. */
+    public void record(RequestSummary summary, Optional<RequestClass> knownClass) {
         summary.error()
                 .map(ErrorKind::wireName)
                 .ifPresent(kind -> refusals.labelValues(kind).inc());
-        if (objective.isEmpty()) {
+        if (knownClass.isEmpty()) {
             return;
         }
         String service = summary.service();
-        String requestClass = objective.get().name();
+        String requestClass = knownClass.get().name();
         String outcome = summary.error().map(kind -> kind.runState().wireName()).orElse("answered");
         requests.labelValues(service, requestClass, outcome).inc();
         if (summary.firstByteMicros() >= 0) {
