--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/BodyReader.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/BodyReader.java
@@ -15,35 +15,35 @@
 import org.xnio.IoUtils;
 import org.xnio.XnioExecutor;
 
-/** Reads a request's body within the limits of the process, and refuses what is over them. */
+/** Reads request bodies and refuses requests that exceed the limits of the process. */
 public final class BodyReader {
     private static final int BYTES_PER_HEADER_LINE = 4;
 
-    /** The largest body whose length isn't said beforehand. */
-    private static final int UNANNOUNCED_BYTES = 4 << 20;
+    /** The maximum size of a body without a Content-Length header. */
+    private static final int MAX_UNDECLARED_BODY_BYTES = 4 << 20;
 
-    private static final long COME_BACK_MILLIS = 1_000;
+    private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final ProcessLimits limits;
     private final long budgetBytes;
-    private final AtomicLong heldBytes = new AtomicLong();
-    private final BiConsumer<HttpServerExchange, Refusal> refused;
+    private final AtomicLong reservedBytes = new AtomicLong();
+    private final BiConsumer<HttpServerExchange, Refusal> refusalListener;
 
     /**
-     * Makes a reader.
+     * Creates a reader.
      *
-     * @param limits the limits
-     * @param budgetBytes the most that all bodies under way may take together
-     * @param refused is told of each refusal, for the log
+     * @param limits the limits of the process
+     * @param budgetBytes the maximum total size of the bodies of all requests in flight
+     * @param refusalListener called for each refusal, for logging
      */
-    public BodyReader(ProcessLimits limits, long budgetBytes, BiConsumer<HttpServerExchange, Refusal> refused) {
+    public BodyReader(ProcessLimits limits, long budgetBytes, BiConsumer<HttpServerExchange, Refusal> refusalListener) {
         this.limits = limits;
         this.budgetBytes = budgetBytes;
-        this.refused = refused;
+        this.refusalListener = refusalListener;
     }
 
-    /** Reads the body and passes it on, on the exchange's I/O thread; answers the exchange itself if it is refused. */
-    public void read(HttpServerExchange exchange, Consumer<byte[]> taken) {
+    /** Reads the body and passes it to the consumer on the exchange's I/O thread, or answers with a refusal. */
+    public void read(HttpServerExchange exchange, Consumer<byte[]> consumer) {
         if (headerBytes(exchange) > limits.headerBytes()) {
             refuse(exchange, ErrorKind.HEADERS_TOO_LARGE, "the headers are over " + limits.headerBytes() + " bytes");
             return;
@@ -52,35 +52,38 @@
             refuseTooLarge(exchange);
             return;
         }
-        if (!hold(exchange)) {
+        if (!reserve(exchange)) {
             Refusal refusal = new Refusal(
-                    ErrorKind.OVERLOADED, COME_BACK_MILLIS, "too many large bodies are under way in this process");
+                    ErrorKind.OVERLOADED, RETRY_AFTER_MILLIS, "too many large bodies are under way in this process");
             refuse(exchange, refusal);
             return;
         }
-        Reading reading = new Reading(exchange, taken);
-        // A caller that sends its body byte by byte, or stops, would hold its connection and what was read for good.
-        reading.timer = exchange.getIoThread().executeAfter(reading::late, limits.bodyMillis(), TimeUnit.MILLISECONDS);
-        exchange.getRequestReceiver().receiveFullBytes(reading::whole, reading::failed);
+        PendingBody pending = new PendingBody(exchange, consumer);
+        // Without a timeout, a caller that sends byte by byte or stops would hold its connection and the memory
+        // forever.
+        pending.timer =
+                exchange.getIoThread().executeAfter(pending::onTimeout, limits.bodyMillis(), TimeUnit.MILLISECONDS);
+        exchange.getRequestReceiver().receiveFullBytes(pending::onBody, pending::onFailure);
     }
 
     /**
-     * Takes a body's bytes from the budget until its answer is whole. A body is kept that long, for another attempt; a
-     * few dozen callers with large ones would else run the process out of memory, and all its callers with it.
+     * Reserves the body's bytes in the budget until the answer is complete; the body is kept that long for retries.
+     * Without a budget, a few dozen callers with large bodies would exhaust the memory of the process, and all of its
+     * callers would fail.
      */
-    private boolean hold(HttpServerExchange exchange) {
-        long announced = exchange.getRequestContentLength();
-        int unannounced = Math.min(limits.bodyBytes(), UNANNOUNCED_BYTES);
-        long bytes = announced >= 0 ? announced : isChunked(exchange) ? unannounced : 0;
-        if (announced < 0) {
-            exchange.setMaxEntitySize(unannounced);
+    private boolean reserve(HttpServerExchange exchange) {
+        long declaredBytes = exchange.getRequestContentLength();
+        int maxUndeclaredBytes = Math.min(limits.bodyBytes(), MAX_UNDECLARED_BODY_BYTES);
+        long bytes = declaredBytes >= 0 ? declaredBytes : isChunked(exchange) ? maxUndeclaredBytes : 0;
+        if (declaredBytes < 0) {
+            exchange.setMaxEntitySize(maxUndeclaredBytes);
         }
-        if (heldBytes.addAndGet(bytes) > budgetBytes) {
-            heldBytes.addAndGet(-bytes);
+        if (reservedBytes.addAndGet(bytes) > budgetBytes) {
+            reservedBytes.addAndGet(-bytes);
             return false;
         }
-        exchange.addExchangeCompleteListener((ended, next) -> {
-            heldBytes.addAndGet(-bytes);
+        exchange.addExchangeCompleteListener((completed, next) -> {
+            reservedBytes.addAndGet(-bytes);
             next.proceed();
         });
         return true;
@@ -105,38 +108,38 @@
         refuse(exchange, ErrorKind.BODY_TOO_LARGE, "the body is over " + limits.bodyBytes() + " bytes");
     }
 
-    /** Answers and closes: the rest of the request isn't worth reading, and a kept connection would have to. */
+    /** Answers and closes the connection: to keep it alive, the rest of the request would have to be read. */
     private void refuse(HttpServerExchange exchange, ErrorKind kind, String detail) {
         refuse(exchange, new Refusal(kind, 0, detail));
     }
 
     private void refuse(HttpServerExchange exchange, Refusal refusal) {
-        refused.accept(exchange, refusal);
+        refusalListener.accept(exchange, refusal);
         exchange.setPersistent(false);
         ErrorAnswer.send(exchange, refusal, "", new LingeringClose());
     }
 
-    private final class Reading {
+    private final class PendingBody {
         private final HttpServerExchange exchange;
-        private final Consumer<byte[]> taken;
+        private final Consumer<byte[]> consumer;
         private XnioExecutor.Key timer;
-        private boolean ended;
+        private boolean completed;
 
-        Reading(HttpServerExchange exchange, Consumer<byte[]> taken) {
+        PendingBody(HttpServerExchange exchange, Consumer<byte[]> consumer) {
             this.exchange = exchange;
-            this.taken = taken;
+            this.consumer = consumer;
         }
 
-        void whole(HttpServerExchange received, byte[] body) {
-            if (end()) {
-                // Undertow ends an exchange whose callback returns without a dispatch: where the body came in parts the
-                // caller would get an empty 200 at once. Dispatched, the exchange is left to whoever took the body.
-                exchange.dispatch(SameThreadExecutor.INSTANCE, () -> taken.accept(body));
+        void onBody(HttpServerExchange received, byte[] body) {
+            if (complete()) {
+                // Undertow ends an exchange whose callback returns without a dispatch: if the body arrived in several
+                // parts, the caller would get an empty 200 at once. After a dispatch, the consumer ends the exchange.
+                exchange.dispatch(SameThreadExecutor.INSTANCE, () -> consumer.accept(body));
             }
         }
 
-        void failed(HttpServerExchange received, IOException failure) {
-            if (!end()) {
+        void onFailure(HttpServerExchange received, IOException failure) {
+            if (!complete()) {
                 return;
             }
             if (failure.getClass().getSimpleName().startsWith("RequestTo")) {
@@ -146,17 +149,17 @@
             IoUtils.safeClose(exchange.getConnection());
         }
 
-        void late() {
-            if (end()) {
+        void onTimeout() {
+            if (complete()) {
                 refuse(exchange, ErrorKind.REQUEST_TIMEOUT, "the body took over " + limits.bodyMillis() + " ms");
             }
         }
 
-        private boolean end() {
-            if (ended) {
+        private boolean complete() {
+            if (completed) {
                 return false;
             }
-            ended = true;
+            completed = true;
             if (timer != null) {
                 timer.remove();
             }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/ErrorAnswer.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/ErrorAnswer.java
@@ -10,9 +10,9 @@
 import java.nio.ByteBuffer;
 import org.rattanrudder.core.model.Refusal;
 
-/** The one JSON shape of every error. */
+/** Writes error responses, which all have the same JSON format. */
 public final class ErrorAnswer {
-    /** The header that names the request. */
+    /** The response header with the request's id. */
     public static final HttpString REQUEST_HEADER = new HttpString("Rattanrudder-Request");
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -20,7 +20,7 @@
 
     private ErrorAnswer() {}
 
-    /** Returns the error's body. */
+    /** Returns the JSON body of an error. */
     public static byte[] body(Refusal refusal, String requestId) {
         ObjectNode error = MAPPER.createObjectNode()
                 .put("kind", refusal.kind().wireName())
@@ -33,17 +33,17 @@
         try {
             return MAPPER.writeValueAsBytes(MAPPER.createObjectNode().set("error", error));
         } catch (JsonProcessingException impossible) {
-            throw new IllegalStateException("an error that can't be written as JSON", impossible);
+            throw new IllegalStateException("can't write the error as JSON", impossible);
         }
     }
 
-    /** Answers with the error, on the exchange's I/O thread, and ends the exchange. */
+    /** Sends the error and ends the exchange; must be called on the exchange's I/O thread. */
     public static void send(HttpServerExchange exchange, Refusal refusal, String requestId) {
         send(exchange, refusal, requestId, IoCallback.END_EXCHANGE);
     }
 
-    /** Answers with the error and does then what the callback says. */
-    public static void send(HttpServerExchange exchange, Refusal refusal, String requestId, IoCallback then) {
+    /** Sends the error and then runs the callback. */
+    public static void send(HttpServerExchange exchange, Refusal refusal, String requestId, IoCallback callback) {
         byte[] body = body(refusal, requestId);
         exchange.setStatusCode(refusal.kind().status());
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
@@ -54,6 +54,6 @@
             long seconds = (refusal.retryAfterMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Long.toString(seconds));
         }
-        exchange.getResponseSender().send(ByteBuffer.wrap(body), then);
+        exchange.getResponseSender().send(ByteBuffer.wrap(body), callback);
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/Health.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/Health.java
@@ -5,24 +5,24 @@
 import io.undertow.util.Headers;
 import io.undertow.util.StatusCodes;
 
-/** Whether the process is live, ready and draining; set by the handler thread, read by I/O threads. */
+/** Serves the health checks of a process; its state is set by the handler thread and read by I/O threads. */
 public final class Health implements HttpHandler {
     private static final String PREFIX = "/health/";
 
     private volatile boolean ready;
     private volatile boolean draining;
 
-    /** Says whether the process can serve. */
+    /** Sets whether the process can serve requests. */
     public void ready(boolean isReady) {
         ready = isReady;
     }
 
-    /** Says that the process has been asked to stop. */
+    /** Marks the process as draining. */
     public void draining() {
         draining = true;
     }
 
-    /** Returns whether the path is one of health's. */
+    /** Returns whether the path is that of a health check. */
     public static boolean serves(String path) {
         return path.startsWith(PREFIX);
     }
@@ -30,8 +30,8 @@
     /** Answers {@code live}, {@code ready} and {@code drain}: 200 for yes, 503 for no. */
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        String question = exchange.getRequestPath().substring(PREFIX.length());
-        switch (question) {
+        String check = exchange.getRequestPath().substring(PREFIX.length());
+        switch (check) {
             case "live" -> answer(exchange, true);
             case "ready" -> answer(exchange, ready && !draining);
             case "drain" -> answer(exchange, draining);
@@ -42,9 +42,9 @@
         }
     }
 
-    private static void answer(HttpServerExchange exchange, boolean yes) {
-        exchange.setStatusCode(yes ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
+    private static void answer(HttpServerExchange exchange, boolean healthy) {
+        exchange.setStatusCode(healthy ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/plain");
-        exchange.getResponseSender().send(yes ? "yes\n" : "no\n");
+        exchange.getResponseSender().send(healthy ? "yes\n" : "no\n");
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/HttpServer.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/HttpServer.java
@@ -10,23 +10,26 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** Undertow's server with the limits of a process. */
+/** An Undertow server with the limits of a process. */
 public final class HttpServer implements AutoCloseable {
-    /** Above the limit that is answered properly: a head larger than this is cut off by the parser. */
-    private static final int PARSER_HEADER_BYTES = 2 << 20;
+    /**
+     * The parser cuts off a request head that is larger than this. It is above the configured limit, so that a head
+     * between the two gets a proper error response.
+     */
+    private static final int MAX_PARSER_HEADER_BYTES = 2 << 20;
 
-    private static final int MOST_HEADERS = 1_000;
+    private static final int MAX_HEADERS = 1_000;
     private static final int BUFFER_BYTES = 8 << 10;
 
     private final Undertow undertow;
 
     /**
-     * Begins to listen.
+     * Starts listening.
      *
-     * @param worker the threads that serve; closed by its owner
-     * @param listen where; port 0 lets the system choose
-     * @param limits bounds on heads, bodies and connections
-     * @param handler takes each request, on an I/O thread
+     * @param worker the I/O threads; closed by its owner
+     * @param listen the address to listen on; with port 0 the system chooses a free one
+     * @param limits the limits on request heads, bodies and connections
+     * @param handler handles each request, on an I/O thread
      * @throws IOException if the address can't be listened on
      */
     public HttpServer(XnioWorker worker, InetSocketAddress listen, ProcessLimits limits, HttpHandler handler)
@@ -36,12 +39,12 @@
                 .setBufferSize(BUFFER_BYTES)
                 .setDirectBuffers(true)
                 .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) limits.bodyBytes())
-                .setServerOption(UndertowOptions.MAX_HEADER_SIZE, PARSER_HEADER_BYTES)
-                .setServerOption(UndertowOptions.MAX_HEADERS, MOST_HEADERS)
+                .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_PARSER_HEADER_BYTES)
+                .setServerOption(UndertowOptions.MAX_HEADERS, MAX_HEADERS)
                 .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, (int) limits.bodyMillis())
                 .setServerOption(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
-                // The path reaches the target as the caller wrote it.
+                // The path must reach the target exactly as the caller sent it.
                 .setServerOption(UndertowOptions.DECODE_URL, false)
                 .setSocketOption(Options.CONNECTION_HIGH_WATER, limits.connections())
                 .setSocketOption(Options.CONNECTION_LOW_WATER, limits.connections())
@@ -57,14 +60,14 @@
         }
     }
 
-    /** Returns the address that is listened on. */
+    /** Returns the address that the server listens on. */
     public Address address() {
         InetSocketAddress bound =
                 (InetSocketAddress) undertow.getListenerInfo().get(0).getAddress();
         return new Address(bound.getAddress().getHostAddress(), bound.getPort());
     }
 
-    /** Stops listening and closes the connections that are open. */
+    /** Stops listening and closes all open connections. */
     @Override
     public void close() {
         undertow.stop();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/LingeringClose.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/LingeringClose.java
@@ -11,11 +11,11 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * Closes a connection after an answer that came before the request was read.
+ * Closes a connection after a response that was sent before the request was read completely.
  *
- * <p>Closing a socket that still holds unread bytes resets the connection, and the reset takes the answer with it: a
- * caller whose body is too large would see a broken connection in place of the reason. So the writing side is closed
- * first, and what still comes is read and thrown away for a short while.
+ * <p>Closing a socket with unread bytes resets the connection, which can discard the response: a caller whose body is
+ * too large would see a connection reset instead of the error. Therefore the output is closed first, and further input
+ * is read and discarded for a short time.
  */
 final class LingeringClose implements IoCallback {
     private static final long LINGER_MILLIS = 1_000;
@@ -28,7 +28,7 @@
         }
         try {
             connection.getOriginalSinkConduit().terminateWrites();
-        } catch (IOException gone) {
+        } catch (IOException closed) {
             IoUtils.safeClose(connection);
             return;
         }
@@ -56,7 +56,7 @@
             if (count < 0) {
                 IoUtils.safeClose(connection);
             }
-        } catch (IOException gone) {
+        } catch (IOException closed) {
             IoUtils.safeClose(connection);
         }
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/MetricsHandler.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/MetricsHandler.java
@@ -9,13 +9,13 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 
-/** Serves the metrics as Prometheus text. */
+/** Serves the metrics in the Prometheus text format. */
 public final class MetricsHandler implements HttpHandler {
     private final PrometheusRegistry registry;
     private final PrometheusTextFormatWriter writer =
             PrometheusTextFormatWriter.builder().build();
 
-    /** Makes a handler for a registry. */
+    /** Creates a handler for a registry. */
     public MetricsHandler(PrometheusRegistry registry) {
         this.registry = registry;
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/PassedHeaders.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/PassedHeaders.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import org.rattanrudder.core.call.Header;
 
-/** Which headers pass through the system, and which belong to one connection or to the system itself. */
+/** Selects the headers to forward: all but hop-by-hop headers and those of the system itself. */
 public final class PassedHeaders {
-    private static final Set<String> KEPT_BACK = Set.of(
+    private static final Set<String> NOT_FORWARDED = Set.of(
             "connection",
             "keep-alive",
             "proxy-authenticate",
@@ -29,33 +29,33 @@
 
     private PassedHeaders() {}
 
-    /** Returns a caller's headers that go on to the target; its credential never does. */
+    /** Returns the caller's headers to forward to the target; its credential is never among them. */
     public static List<Header> of(HeaderMap headers) {
-        List<Header> passed = new ArrayList<>();
+        List<Header> forwarded = new ArrayList<>();
         for (HeaderValues values : headers) {
             String name = values.getHeaderName().toString();
-            if (passes(name)) {
-                values.forEach(value -> passed.add(new Header(name, value)));
+            if (isForwarded(name)) {
+                values.forEach(value -> forwarded.add(new Header(name, value)));
             }
         }
-        return passed;
+        return forwarded;
     }
 
-    /** Returns a target's headers that go back to the caller. */
+    /** Returns the target's headers to forward to the caller. */
     public static List<Header> of(List<Header> headers) {
-        return headers.stream().filter(header -> passes(header.name())).toList();
+        return headers.stream().filter(header -> isForwarded(header.name())).toList();
     }
 
-    /** Adds the headers that pass to an answer. */
+    /** Adds the headers to forward to an answer. */
     public static void addTo(HeaderMap answer, List<Header> headers) {
         for (Header header : headers) {
-            if (passes(header.name())) {
+            if (isForwarded(header.name())) {
                 answer.add(new HttpString(header.name()), header.value());
             }
         }
     }
 
-    private static boolean passes(String name) {
-        return !KEPT_BACK.contains(name.toLowerCase(Locale.ROOT));
+    private static boolean isForwarded(String name) {
+        return !NOT_FORWARDED.contains(name.toLowerCase(Locale.ROOT));
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/package-info.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/package-info.java
@@ -1,2 +1,2 @@
-/** What the HTTP servers of entries and companions share: limits, errors, health and metrics. */
+/** HTTP handlers shared by the servers of entries and companions: limits, errors, health checks and metrics. */
 package org.rattanrudder.daemon.http;
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/http/BodyReaderTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/http/BodyReaderTest.java
@@ -29,7 +29,7 @@
 
     private final CountDownLatch reading = new CountDownLatch(1);
     private final CountDownLatch returned = new CountDownLatch(1);
-    private final ExecutorService answers = Executors.newSingleThreadExecutor();
+    private final ExecutorService executor = Executors.newSingleThreadExecutor();
     private final BodyReader reader = new BodyReader(LIMITS, Long.MAX_VALUE, (exchange, refusal) -> {});
     private XnioWorker worker;
     private HttpServer server;
@@ -53,15 +53,15 @@
 
     @AfterEach
     void stop() {
-        answers.shutdownNow();
+        executor.shutdownNow();
         server.close();
         worker.shutdownNow();
     }
 
     @Test
-    void aBodyThatComesInPartsIsAnsweredOnlyByTheAnswerThatComesLater() throws Exception {
-        // A long prompt reaches the entry in several packets. The server ends an exchange whose reader returns without
-        // saying that it goes on: the clerk gets an empty 200 at once, while the prompt runs for nobody.
+    void bodyThatArrivesInPartsIsAnsweredOnlyByTheLaterResponse() throws Exception {
+        // A long prompt arrives in several packets. The server ends an exchange whose reader returns without a
+        // dispatch: the caller would get an empty 200 at once, while a target still runs its prompt.
         try (Socket caller = new Socket("127.0.0.1", server.address().port())) {
             OutputStream output = caller.getOutputStream();
             output.write(
@@ -73,16 +73,16 @@
             output.write(new byte[HALF]);
             output.flush();
 
-            assertThat(answer(caller.getInputStream())).endsWith("took " + 2 * HALF);
+            assertThat(answer(caller.getInputStream())).endsWith("received " + 2 * HALF);
         }
     }
 
     private void answerLater(HttpServerExchange exchange, byte[] body) {
-        // Queued behind the present task of the I/O thread: it runs when the reader has returned.
+        // Runs after the current task of the I/O thread, when the reader has returned.
         exchange.getIoThread().execute(returned::countDown);
-        answers.execute(() -> {
+        executor.execute(() -> {
             awaitReturned();
-            exchange.getResponseSender().send("took " + body.length);
+            exchange.getResponseSender().send("received " + body.length);
         });
     }
 
