--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/Rattanrudderd.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/Rattanrudderd.java
@@ -26,29 +26,29 @@
 /**
  * The daemon: {@code rattanrudderd [--role entry|companion] --settings FILE}.
  *
- * <p>SIGHUP: the settings are read again. Exit codes: 0 after SIGTERM once all was finished, 1 if something was cut off
- * or the process couldn't start, 2 for wrong usage or settings.
+ * <p>On SIGHUP the settings are reloaded. Exit codes: 0 if all running work finished after SIGTERM, 1 if some of it was
+ * aborted or the process couldn't start, 2 for invalid usage or settings.
  */
 public final class Rattanrudderd {
-    /** The release, as said in hellos. */
+    /** The release, as sent in the hello of a link. */
     public static final String RELEASE = "0.1.0";
 
     private static final int FAILED = 1;
-    private static final int USAGE = 2;
+    private static final int INVALID_USAGE = 2;
 
     private Rattanrudderd() {}
 
-    /** Runs the daemon until it is asked to stop. */
+    /** Runs the daemon until a signal stops it. */
     public static void main(String[] arguments) {
         Signals.ignoreSettingsChanged();
         Logging.install();
-        if (RelayStart.isMeant(arguments)) {
+        if (RelayStart.isRequested(arguments)) {
             run(log -> RelayStart.start(System.err));
             return;
         }
         Optional<SettingsFile> file = settings(arguments, System.err);
         if (file.isEmpty()) {
-            System.exit(USAGE);
+            System.exit(INVALID_USAGE);
         }
         run(log -> {
             ProcessSettings settings = file.get().settings();
@@ -56,7 +56,7 @@
             log.infof(
                     "event=started instance=%s role=%s http=%s release=%s",
                     settings.instance(), settings.role().name().toLowerCase(Locale.ROOT), process.http(), RELEASE);
-            // Entries and companions take all settings at their start; what changes later is only said.
+            // Entries and companions apply their settings only at the start; later changes are only logged.
             return new Started(
                     process,
                     new SettingsWatch(
@@ -67,25 +67,25 @@
         });
     }
 
-    /** Starts a process; returns null if its settings don't hold. */
+    /** Starts a process; returns null if its settings are invalid. */
     private interface Start {
         Started start(Logger log) throws IOException;
     }
 
     /**
-     * A process that runs.
+     * A running process.
      *
      * @param process the process
-     * @param settings looks at its settings file
+     * @param settings watches its settings file
      */
     record Started(RunningProcess process, SettingsWatch settings) {}
 
-    /** A settings file that was read. */
+    /** A parsed settings file. */
     private record SettingsFile(Path path, String text, ProcessSettings settings) {}
 
     /**
-     * Runs a process until it is asked to stop. Signals are heard before it is started: it takes callers before the
-     * start has returned, and one that is asked to stop then still has to finish what it took.
+     * Runs a process until a signal stops it. The signal handlers are installed before the start: the process accepts
+     * requests before the start has returned, and if it is stopped then, it still has to finish them.
      */
     private static void run(Start start) {
         Logger log = Logger.getLogger(Rattanrudderd.class);
@@ -93,7 +93,7 @@
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(() -> starting.join().ifPresent(started -> stop(started, log)), "stop"));
         Signals.install(() -> starting.thenAccept(
-                started -> started.ifPresent(runs -> runs.settings().readNow())));
+                started -> started.ifPresent(runs -> runs.settings().reloadNow())));
         int failure = FAILED;
         try {
             Started started = start.start(log);
@@ -102,7 +102,7 @@
                 starting.complete(Optional.of(started));
                 Thread.currentThread().join();
             }
-            failure = USAGE;
+            failure = INVALID_USAGE;
         } catch (IOException failed) {
             System.err.println("rattanrudderd: " + failed.getMessage());
         } catch (InterruptedException interrupted) {
@@ -121,14 +121,14 @@
         };
     }
 
-    /** Never 0, which stands for no incarnation; drawn, since nothing of an earlier start is kept to count on from. */
+    /** Random, since no state of an earlier start is kept that could be incremented; never 0, which means none. */
     private static long incarnation() {
         SecureRandom random = new SecureRandom();
-        long drawn = 0;
-        while (drawn == 0) {
-            drawn = random.nextLong();
+        long incarnation = 0;
+        while (incarnation == 0) {
+            incarnation = random.nextLong();
         }
-        return drawn;
+        return incarnation;
     }
 
     private static void stop(Started started, Logger log) {
@@ -143,7 +143,7 @@
         process.close();
         started.settings().close();
         log.infof("event=stopped finished=%s", finished);
-        // The virtual machine would end with the signal's number, as if the process had been cut off.
+        // Otherwise the JVM would exit with the signal's status, as if the process had been killed.
         Logging.flush();
         Runtime.getRuntime().halt(finished ? 0 : FAILED);
     }
@@ -158,8 +158,8 @@
         try {
             OptionSet options = parser.parse(arguments);
             return read(Path.of(options.valueOf(file)), Optional.ofNullable(options.valueOf(role)), errors);
-        } catch (OptionException wrong) {
-            errors.println("rattanrudderd: " + wrong.getMessage());
+        } catch (OptionException invalid) {
+            errors.println("rattanrudderd: " + invalid.getMessage());
             errors.println("usage: rattanrudderd [--role entry|companion] --settings FILE");
             return Optional.empty();
         } catch (IOException unreadable) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/RelayStart.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/RelayStart.java
@@ -17,19 +17,19 @@
 import org.rattanrudder.document.RelaySettings;
 import org.rattanrudder.document.RelaySettingsParser;
 
-/** Starts the daemon as a relay: {@code rattanrudderd --role relay}, its settings in the file that a variable names. */
+/** Starts a relay: {@code rattanrudderd --role relay}; an environment variable has the path of its settings file. */
 final class RelayStart {
     /** The environment variable with the path of the settings. */
     static final String SETTINGS_VARIABLE = "RATTANRUDDER_CONFIG";
 
     private RelayStart() {}
 
-    /** Returns whether the command line asks for a relay. */
-    static boolean isMeant(String[] arguments) {
+    /** Returns whether the command line requests a relay. */
+    static boolean isRequested(String[] arguments) {
         return Arrays.equals(arguments, new String[] {"--role", "relay"});
     }
 
-    /** Starts the relay; returns null if its settings don't hold, which is said on the given stream. */
+    /** Starts the relay; returns null if its settings are invalid or there is no adapter, with errors on the stream. */
     static Rattanrudderd.Started start(PrintStream errors) throws IOException {
         Optional<Settings> settings = settings(System.getenv(SETTINGS_VARIABLE), errors);
         Optional<PlatformAdapter> adapter =
@@ -52,10 +52,10 @@
                         settings.get().file(),
                         settings.get().text(),
                         RelaySettings.CHANGEABLE,
-                        text -> readAgain(relay, text)));
+                        text -> reload(relay, text)));
     }
 
-    private static List<String> readAgain(RelayProcess relay, String text) {
+    private static List<String> reload(RelayProcess relay, String text) {
         ParseResult<RelaySettings> result = new RelaySettingsParser().parse(text);
         if (result instanceof ParseResult.Accepted<RelaySettings> accepted) {
             relay.settingsRead(accepted.value());
@@ -63,7 +63,7 @@
         return ParseResult.problems(result);
     }
 
-    /** A settings file that was read. */
+    /** A parsed settings file. */
     record Settings(Path file, String text, RelaySettings settings) {}
 
     static Optional<Settings> settings(String file, PrintStream errors) throws IOException {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/SettingsReader.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/SettingsReader.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 
-/** Takes settings that were read again while a process runs. */
+/** Applies settings that were reloaded while the process runs. */
 interface SettingsReader {
-    /** Checks a text and takes over what can change while the process runs; returns its problems, none if it holds. */
-    List<String> take(String text);
+    /** Validates the settings and applies those that can change at run time; returns the problems found, if any. */
+    List<String> apply(String text);
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/SettingsWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/SettingsWatch.java
@@ -16,38 +16,38 @@
 import org.rattanrudder.document.SettingsDifference;
 
 /**
- * Reads a settings file again when a signal says that it has changed, and every now and then.
+ * Reloads a settings file on a signal and whenever a regular check finds that it has changed.
  *
- * <p>It has a thread of its own: a slow disk holds up no request.
+ * <p>It has a thread of its own, so that a slow disk delays no request.
  */
 final class SettingsWatch implements AutoCloseable {
-    /** How often the file is looked at, in ms: it may change without a signal; a look costs one small read. */
-    private static final long PERIOD_MILLIS = 1_000;
+    /** The interval of the checks: the file may change without a signal, and a check costs only one small read. */
+    private static final long CHECK_INTERVAL_MILLIS = 1_000;
 
     private final Path file;
-    private final String started;
+    private final String initialText;
     private final Set<String> changeable;
     private final SettingsReader reader;
     private final EventLog log = new EventLog(Logger.getLogger(SettingsWatch.class), new MonotonicClock());
     private final ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1, SettingsWatch::daemon);
-    private final AtomicBoolean asked = new AtomicBoolean();
-    private String taken;
+    private final AtomicBoolean reloadPending = new AtomicBoolean();
+    private String appliedText;
     private String lastRead;
 
     /**
-     * Makes a watch; it begins with {@link #start}.
+     * Creates a watch; it checks the file from {@link #start} on.
      *
      * @param file the settings file
-     * @param text what the process was started with
-     * @param changeable the keys that the process takes over while it runs
-     * @param reader takes what is read
+     * @param text the settings that the process was started with
+     * @param changeable the keys that can change at run time
+     * @param reader applies the settings that were read
      */
     SettingsWatch(Path file, String text, Set<String> changeable, SettingsReader reader) {
         this.file = file;
         this.changeable = changeable;
         this.reader = reader;
-        started = text;
-        taken = text;
+        initialText = text;
+        appliedText = text;
         lastRead = text;
     }
 
@@ -57,49 +57,50 @@
         return thread;
     }
 
-    /** Begins to look at the file. */
+    /** Starts checking the file. */
     void start() {
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        thread.scheduleWithFixedDelay(() -> look(false), PERIOD_MILLIS, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+        thread.scheduleWithFixedDelay(
+                () -> check(false), CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Reads the file at once; asked again before that has happened, it is read once. */
-    void readNow() {
-        if (!thread.isShutdown() && asked.compareAndSet(false, true)) {
+    /** Reloads the file now; calls before that reload has started are merged into one. */
+    void reloadNow() {
+        if (!thread.isShutdown() && reloadPending.compareAndSet(false, true)) {
             thread.execute(() -> {
-                asked.set(false);
-                look(true);
+                reloadPending.set(false);
+                check(true);
             });
         }
     }
 
-    /** Looks at the file; an exception that nobody caught would end all further looks without a word. */
-    private void look(boolean wasAsked) {
-        String because = wasAsked ? "signal" : "file";
+    /** Checks the file; an uncaught exception would silently cancel all further checks. */
+    private void check(boolean requested) {
+        String because = requested ? "signal" : "file";
         try {
             String text = Files.readString(file);
-            if (wasAsked || !text.equals(lastRead)) {
+            if (requested || !text.equals(lastRead)) {
                 lastRead = text;
-                take(text, because);
+                apply(text, because);
             }
         } catch (IOException | RuntimeException failed) {
             boolean first = !lastRead.isEmpty();
             lastRead = "";
-            if (wasAsked || first) {
-                unreadable(because, failed.toString());
+            if (requested || first) {
+                logUnreadable(because, failed.toString());
             }
         }
     }
 
-    private void take(String text, String because) {
-        List<String> problems = reader.take(text);
+    private void apply(String text, String because) {
+        List<String> problems = reader.apply(text);
         if (!problems.isEmpty()) {
-            unreadable(because, String.join("; ", problems));
+            logUnreadable(because, String.join("; ", problems));
             return;
         }
-        List<String> inForce = SettingsDifference.keys(taken, text);
-        List<String> needRestart = SettingsDifference.keys(started, text);
-        taken = text;
+        List<String> inForce = SettingsDifference.keys(appliedText, text);
+        List<String> needRestart = SettingsDifference.keys(initialText, text);
+        appliedText = text;
         log.info(
                 "settings_read",
                 "because",
@@ -110,7 +111,7 @@
                 joined(needRestart.stream().filter(key -> !changeable.contains(key))));
     }
 
-    private void unreadable(String because, String problems) {
+    private void logUnreadable(String because, String problems) {
         log.warn("settings_unreadable", "because", because, "file", file.toString(), "problems", problems);
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/Signals.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/Signals.java
@@ -6,10 +6,10 @@
 import sun.misc.SignalHandler;
 
 /**
- * The signals that operators send to the daemon; each is logged before anything follows from it.
+ * Handles the signals that operators send to the daemon; each is logged before it takes effect.
  *
- * <p>The virtual machine takes SIGHUP for a request to stop, as it takes SIGTERM: a process that is told that its
- * settings have changed would drain, cut off what runs longer than its grace, and be away until it is started again.
+ * <p>By default the JVM shuts down on SIGHUP, as it does on SIGTERM: a process notified of changed settings would
+ * drain, abort requests that run longer than the grace period, and be unavailable until it is started again.
  */
 final class Signals {
     private static final Signal SETTINGS_CHANGED = new Signal("HUP");
@@ -17,21 +17,21 @@
 
     private Signals() {}
 
-    /** Takes no notice of changed settings; to be called first, since a process that starts reads them anyway. */
+    /** Ignores SIGHUP; must be called first. A starting process reads its settings anyway. */
     static void ignoreSettingsChanged() {
-        // Not SIG_IGN: the virtual machine never gives back a signal that is ignored, as it is under nohup.
+        // Not SIG_IGN: the JVM installs no other handler for a signal that is ignored, as it is under nohup.
         Signal.handle(SETTINGS_CHANGED, received -> {});
     }
 
-    /** Logs each signal from now on; on a request to stop the virtual machine ends as it would without this. */
+    /** Logs each signal from now on; on SIGTERM and SIGINT the JVM then shuts down as it does by default. */
     static void install(Runnable settingsChanged) {
         Signal.handle(SETTINGS_CHANGED, received -> {
             log(received);
             settingsChanged.run();
         });
         STOP.forEach(signal -> {
-            Logged logged = new Logged();
-            logged.before = Signal.handle(signal, logged);
+            LoggingHandler handler = new LoggingHandler();
+            handler.previous = Signal.handle(signal, handler);
         });
     }
 
@@ -39,14 +39,14 @@
         Logger.getLogger(Signals.class).infof("event=signalled signal=%s", received.getName());
     }
 
-    /** Logs a signal, then does what was done before. */
-    private static final class Logged implements SignalHandler {
-        private volatile SignalHandler before = SignalHandler.SIG_DFL;
+    /** Logs a signal, then calls the previous handler. */
+    private static final class LoggingHandler implements SignalHandler {
+        private volatile SignalHandler previous = SignalHandler.SIG_DFL;
 
         @Override
         public void handle(Signal received) {
             log(received);
-            before.handle(received);
+            previous.handle(received);
         }
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/package-info.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon {@code rattanrudderd}: reads its settings and runs as an entry or a companion until it is drained. */
+/** The daemon {@code rattanrudderd}: runs as an entry, companion or relay until it is stopped. */
 package org.rattanrudder.daemon;
