--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/ForwardingMetadata.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/ForwardingMetadata.java
@@ -6,16 +6,16 @@
 import org.rattanrudder.core.parts.PartPlan;
 
 /**
- * What a relay tells a target beside the request itself.
+ * The metadata that a relay sends to a target with a request.
  *
  * @param remainingMillis how long the target may work on it
- * @param target the incarnation that is meant
- * @param customer the customer's name; empty if the route asks for no credential
- * @param weights the version of weights that it must begin on; empty for plain services
- * @param salt under which cached context is found; empty for plain services
+ * @param target the incarnation that it is for
+ * @param customer the customer's name; empty if the route requires no credential
+ * @param weights the version of the weights that it must start on; empty for plain services
+ * @param salt the salt of the keys of cached context; empty for plain services
  * @param parts where cached parts are read and saved
- * @param lastEventId the event after which the stream goes on; empty from the start
- * @param priority its rank at the engine, 0 first; empty for the usual one
+ * @param lastEventId the event after which to resume the stream; empty to start from the beginning
+ * @param priority its priority at the engine, 0 first; empty for the default
  */
 public record ForwardingMetadata(
         long remainingMillis,
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/KeyedRecord.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/KeyedRecord.java
@@ -5,7 +5,7 @@
 /**
  * A record of a topic that keeps the newest record of each key.
  *
- * @param offset its place in the topic
+ * @param offset its offset in the topic
  * @param key its key
  * @param value its value; empty if the key was removed
  */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/PlatformAdapter.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/PlatformAdapter.java
@@ -1,16 +1,16 @@
 package org.rattanrudder.daemon.relay.port;
 
-/** The platform that a relay runs on; found on the class path by the service loader. */
+/** Adapts the relay to its platform; loaded from the class path by {@link java.util.ServiceLoader}. */
 public interface PlatformAdapter {
-    /** Returns how requests and answers are translated. */
+    /** Returns the translation of requests and responses. */
     RequestDialect requests();
 
-    /** Returns how the platform's store is spoken to. */
+    /** Returns the protocol of the platform's store. */
     StoreDialect store();
 
-    /** Returns what is said in the rehearsal of a start. */
+    /** Returns the messages of the startup rehearsal. */
     RehearsalScript rehearsal();
 
-    /** Returns how engines and context stores are spoken to, beside requests. */
+    /** Returns the protocol of engines and context stores, other than requests. */
     EngineDialect engines();
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/PlatformCall.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/PlatformCall.java
@@ -4,11 +4,11 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A call to the platform's store, an engine or a context store.
+ * An HTTP call to the platform's store, an engine or a context store.
  *
  * @param method the HTTP method
  * @param requestUri path and query
- * @param headers headers beside the usual ones
+ * @param headers headers in addition to the usual ones
  * @param body the body; empty if none
  */
 public record PlatformCall(HttpMethod method, String requestUri, HttpHeaders headers, byte[] body) {}
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/QuarantineRecord.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/QuarantineRecord.java
@@ -3,25 +3,25 @@
 import org.rattanrudder.core.quarantine.RequestFingerprint;
 import org.rattanrudder.core.quarantine.TargetCrash;
 
-/** A record by which relays share what is held against requests. */
+/** A record by which relays share the quarantine of requests. */
 public sealed interface QuarantineRecord {
     /**
-     * The end of a target.
+     * A target crashed.
      *
-     * @param relay the relay that saw it; its record replaces the one of the end that it saw before
-     * @param crash what it saw
+     * @param relay the relay that detected it; the record replaces that of the previous crash it detected
+     * @param crash the crash
      */
     record Crashed(String relay, TargetCrash crash) implements QuarantineRecord {}
 
     /**
-     * A request is quarantined.
+     * A request was quarantined.
      *
      * @param request the request
      */
     record Quarantined(RequestFingerprint request) implements QuarantineRecord {}
 
     /**
-     * A request is quarantined no more.
+     * A request was released from quarantine.
      *
      * @param request the request
      */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RehearsalScript.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RehearsalScript.java
@@ -4,15 +4,15 @@
 import java.util.Optional;
 import org.rattanrudder.core.model.Address;
 
-/** What callers, targets and the platform's store say in the rehearsal of a start, as it stands on the wire. */
+/** The messages of callers, targets and the platform's store in the startup rehearsal, in wire format. */
 public interface RehearsalScript {
-    /** Returns the requests that callers send, one after the other. */
+    /** Returns the requests of callers, in order. */
     List<String> requests();
 
     /**
-     * Returns the answer to a call; empty if it gets none.
+     * Returns the response to a call; empty if there is none.
      *
-     * @param head the call's head, without its last line end
+     * @param head the head of the call, without its last line end
      * @param self where the store and all targets of the rehearsal listen
      */
     Optional<String> answer(String head, Address self);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RelayRegistration.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RelayRegistration.java
@@ -3,9 +3,9 @@
 import org.rattanrudder.core.model.Address;
 
 /**
- * What a relay tells of itself in the platform's store.
+ * A relay's registration in the platform's store.
  *
- * @param peerAddress where it hears of other relays
- * @param failureDomain where it stands
+ * @param peerAddress where it receives messages from other relays
+ * @param failureDomain its failure domain
  */
 public record RelayRegistration(Address peerAddress, String failureDomain) {}
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RequestDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/RequestDialect.java
@@ -5,24 +5,24 @@
 import io.netty.handler.codec.http.HttpResponse;
 import org.rattanrudder.core.gateway.RequestMetadata;
 
-/** Translates requests and answers. */
+/** Translates requests and responses. */
 public interface RequestDialect {
     /**
-     * Reads the head of a caller's request.
+     * Parses the head of a caller's request.
      *
-     * @throws IllegalArgumentException if a value can't be read
+     * @throws IllegalArgumentException if a value is malformed
      */
     RequestMetadata read(HttpRequest request);
 
-    /** Returns the headers of a request as a target gets them, without those that frame its body. */
+    /** Returns the headers of a request as sent to a target, without those that frame its body. */
     HttpHeaders forTarget(HttpHeaders fromCaller, ForwardingMetadata forwarding);
 
-    /** Reads the head of a target's answer. */
+    /** Parses the head of a target's response. */
     ResponseMetadata read(HttpResponse answer);
 
-    /** Returns the headers of an answer as the caller gets them, without those that frame its body. */
+    /** Returns the headers of a response as sent to the caller, without those that frame its body. */
     HttpHeaders forCaller(HttpHeaders fromTarget);
 
-    /** Returns the headers of an answer of our own to a request with the id; an empty id is left out. */
+    /** Returns the headers of a local reply to a request; an empty request ID is left out. */
     HttpHeaders localReplyHeaders(String requestId);
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/ResponseMetadata.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/ResponseMetadata.java
@@ -4,17 +4,17 @@
 import java.util.OptionalLong;
 
 /**
- * What the head of a target's answer says.
+ * The metadata in the head of a target's response.
  *
  * @param status the HTTP status
- * @param requestId the request that it answers; empty if it doesn't say
- * @param signed whether the target vouches for it
- * @param notRun whether the target says that it didn't run the request
- * @param misdirected whether another target, or other weights, were meant
- * @param target the incarnation that answered, if it says so
- * @param load the target's load, if it says so
- * @param weights the version of weights that it ran on, if it says so
- * @param keepAliveMillis how long the target keeps the connection open when idle, if it says so
+ * @param requestId the ID of the request that it answers; empty if missing
+ * @param signed whether the target signed it
+ * @param notRun whether the target reports that it didn't run the request
+ * @param misdirected whether the request was meant for another target or other weights
+ * @param target the incarnation that answered, if reported
+ * @param load the target's load, if reported
+ * @param weights the version of the weights that it ran on, if reported
+ * @param keepAliveMillis how long the target keeps an idle connection open, if reported
  */
 public record ResponseMetadata(
         int status,
@@ -29,12 +29,12 @@
     /**
      * The load of a target.
      *
-     * @param running requests that it works on
+     * @param running requests that are running
      * @param queued requests in its queue
      */
     public record Load(int running, int queued) {}
 
-    /** Returns whether it says that the request succeeded. */
+    /** Returns whether the request succeeded. */
     public boolean isSuccess() {
         return status >= 200 && status < 300;
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreDialect.java
@@ -7,75 +7,77 @@
 import org.rattanrudder.core.gateway.ServingConfiguration;
 import org.rattanrudder.core.rollout.LeaseRecord;
 
-/** How the platform's store is spoken to. */
+/** Builds and parses the calls to the platform's store. */
 public interface StoreDialect {
     /** The topics of the store that a relay uses. */
     enum Topic {
-        /** What operators want: the configuration, and the weights of each model. */
+        /** The desired state: the configuration, and the weights of each model. */
         WISHES,
-        /** The targets' entries. */
+        /** The registrations of targets. */
         TARGETS,
-        /** The lease of the process that gives orders. */
+        /** The lease of the process that sends orders. */
         ORDERS,
-        /** Where the relays hear of each other. */
+        /** The addresses at which relays receive messages from their peers. */
         RELAYS,
-        /** What is held against requests that end targets. */
+        /** Crashes of targets and the requests that are quarantined for them. */
         QUARANTINE
     }
 
-    /** A record of what operators want. */
+    /** A record of the desired state. */
     sealed interface DesiredState {
         /**
          * The newest configuration.
          *
-         * @param configuration in full
+         * @param configuration the complete configuration
          */
         record DesiredConfiguration(ServingConfiguration configuration) implements DesiredState {}
 
         /**
-         * A version of weights.
+         * The desired version of weights.
          *
          * @param weights the model and its version
          */
         record DesiredWeights(WeightsVersion weights) implements DesiredState {}
     }
 
-    /** Returns the call for a page of the newest records; after the given key, or the first page. */
+    /** Returns the call for a page of the newest records: the page after the given key, or the first one. */
     PlatformCall list(Topic topic, Optional<String> after);
 
-    /** Returns the call that waits for records from an offset on. */
+    /** Returns the long-polling call for records from an offset on. */
     PlatformCall poll(Topic topic, long from, long waitMillis);
 
-    /** Returns the call that appends a record; only at the given end if one is given. */
+    /** Returns the call that appends a record; if an offset is given, only if the topic ends there. */
     PlatformCall append(Topic topic, LeaseRecord record, OptionalLong at);
 
-    /** Returns the call that writes where a relay hears of the others. */
+    /** Returns the call that registers a relay. */
     PlatformCall register(String relay, RelayRegistration registered);
 
-    /** Returns the call that writes records, all or none. */
+    /** Returns the call that writes quarantine records, all or none. */
     PlatformCall write(List<QuarantineRecord> records);
 
-    /** Reads such a record; empty if the key isn't used. Throws IllegalArgumentException if unreadable. */
+    /** Parses a quarantine record; empty if the key isn't used. Throws IllegalArgumentException if malformed. */
     Optional<QuarantineRecord> readQuarantine(KeyedRecord record);
 
-    /** Reads where a relay hears of the others. Throws IllegalArgumentException if unreadable. */
+    /** Parses the registration of a relay. Throws IllegalArgumentException if malformed. */
     RelayRegistration readRelay(byte[] value);
 
-    /** Reads the answer to a listing. */
+    /** Parses the response to {@link #list}. */
     StoreResponse readListing(int status, byte[] body);
 
-    /** Reads the answer to a call that follows a topic from an offset. */
+    /** Parses the response to {@link #poll}. */
     StoreResponse readRecords(Topic topic, long from, int status, byte[] body);
 
-    /** Reads the answer to an append. */
+    /** Parses the response to {@link #append}. */
     StoreResponse readAppend(int status, byte[] body);
 
-    /** Reads what operators want; empty if the key isn't used. Throws IllegalArgumentException if unreadable. */
+    /**
+     * Parses a record of the desired state; empty if the key isn't used. Throws IllegalArgumentException if malformed.
+     */
     Optional<DesiredState> readDesiredState(KeyedRecord record);
 
-    /** Reads a target's entry. Throws IllegalArgumentException if unreadable. */
+    /** Parses the registration of a target. Throws IllegalArgumentException if malformed. */
     TargetRegistration readTarget(String id, byte[] value);
 
-    /** Reads a record of the lease. Throws IllegalArgumentException if unreadable. */
+    /** Parses a lease record. Throws IllegalArgumentException if malformed. */
     LeaseRecord readLease(byte[] value);
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreResponse.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/StoreResponse.java
@@ -4,19 +4,19 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** An answer of the platform's store. */
+/** A response of the platform's store. */
 public sealed interface StoreResponse {
     /**
      * A page of the newest records of all keys.
      *
      * @param records the page
-     * @param morePages whether others follow
-     * @param end the offset after the topic's last record
+     * @param morePages whether more pages follow
+     * @param end the offset after the last record of the topic
      */
     record Listing(List<KeyedRecord> records, boolean morePages, long end) implements StoreResponse {}
 
     /**
-     * Records that were read.
+     * Records read from a topic.
      *
      * @param records in order
      * @param next the offset to read from next
@@ -24,27 +24,27 @@
     record Records(List<KeyedRecord> records, long next) implements StoreResponse {}
 
     /**
-     * The records that were asked for are kept no more.
+     * The requested records are no longer retained.
      *
-     * @param first the offset of the first record that is kept; empty if the store doesn't say
+     * @param first the offset of the first retained record; empty if the store doesn't report it
      */
     record Forgotten(OptionalLong first) implements StoreResponse {}
 
     /**
      * A record was appended.
      *
-     * @param offset its place
+     * @param offset its offset
      */
     record Appended(long offset) implements StoreResponse {}
 
-    /** The topic didn't end where it had to; nothing was appended. */
+    /** The topic didn't end at the expected offset; nothing was appended. */
     record Conflict() implements StoreResponse {}
 
     /**
      * The call failed.
      *
      * @param status the HTTP status
-     * @param reason why the answer couldn't be used, if the status doesn't tell
+     * @param reason why the response couldn't be used, if the status doesn't show it
      */
     record Failed(int status, Optional<String> reason) implements StoreResponse {}
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/package-info.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/port/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What a relay needs of the platform that it runs on, in the product's own words.
+ * The relay's interface to the platform that it runs on, in the product's own terms.
  *
- * <p>{@link org.rattanrudder.daemon.relay.port.PlatformAdapter} is the front class. An adapter translates between these
- * types and the platform's names, formats and calls; it decides nothing.
+ * <p>{@link org.rattanrudder.daemon.relay.port.PlatformAdapter} is the entry point. An adapter translates between these
+ * types and the platform's names, formats and calls; it makes no decisions.
  */
 package org.rattanrudder.daemon.relay.port;
