--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -29,30 +29,32 @@
 import org.rattanrudder.core.model.ErrorKind;
 
 /**
- * A caller's connection: reads one request after the other and writes their answers in order.
+ * Serves a caller's connection: reads requests one after the other and writes the responses in order.
  *
- * <p>Requests that arrive while one is served wait here, few at a time. A request is looked at as soon as its head is
- * there, and answered or sent on when its body is.
+ * <p>Requests that arrive while one is served are queued here, up to a limit. A request is authorized as soon as its
+ * head is read, and answered or sent on once its body is complete.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
-    /** Pieces of later requests that wait while one is served; beyond that the caller has to wait with sending. */
-    private static final int WAITING_PIECES = 64;
+    /** Messages of later requests that are queued while one is served; beyond that, reading is paused. */
+    private static final int MAX_QUEUED_MESSAGES = 64;
 
-    /** How long a connection that we close is still read, in ms, so that a reset doesn't overtake the last answer. */
+    /**
+     * How long a connection that the relay closes is still read, so that a reset doesn't overtake the last response.
+     */
     private static final long LINGER_MILLIS = 500;
 
-    /** How long a request waits while the loop is late, in ms: one turn, in which a close behind it is seen. */
-    private static final long LATE_TURN_MILLIS = 2;
+    /** How long a request waits while the event loop is late: one iteration, in which a close sent after it is read. */
+    private static final long LATE_START_DELAY_MILLIS = 2;
 
     private final RelayState state;
     private final TargetPools pools;
-    private final Set<CallerConnection> open;
-    private final Deque<Object> waiting = new ArrayDeque<>();
+    private final Set<CallerConnection> connections;
+    private final Deque<Object> queued = new ArrayDeque<>();
     private ChannelHandlerContext context;
-    private AnswerWriter answers;
+    private ResponseWriter writer;
     private HttpRequest head;
-    private RequestMetadata facts;
-    private AccessDecision admittance;
+    private RequestMetadata metadata;
+    private AccessDecision access;
     private ErrorKind problem;
     private ByteBuf body;
     private Exchange exchange;
@@ -60,36 +62,36 @@
     private long lastReadAt;
     private long partialHeadSince = -1;
     private boolean closing;
-    private boolean proceeding;
+    private boolean drainingQueue;
 
-    CallerConnection(RelayState state, TargetPools pools, Set<CallerConnection> open) {
+    CallerConnection(RelayState state, TargetPools pools, Set<CallerConnection> connections) {
         this.state = state;
         this.pools = pools;
-        this.open = open;
+        this.connections = connections;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext active) {
         context = active;
-        answers = new AnswerWriter(state, active);
+        writer = new ResponseWriter(state, active);
         lastReadAt = state.nowMillis();
-        open.add(this);
+        connections.add(this);
     }
 
     /**
-     * Reads what has arrived without waiting for the loop's next turn, and returns whether the connection has ended;
-     * its exchange is cancelled soon after. Turns are long while the processor is short, and what is ready in one is
-     * handled in any order: a request would be sent on before the end of its connection is seen.
+     * Reads pending bytes without waiting for the next iteration of the event loop, and returns whether the connection
+     * was closed; its exchange is cancelled soon after. Iterations are long while CPU is short, and ready connections
+     * are handled in any order: a request would be sent on before the close of its connection is read.
      */
-    boolean hasLeft() {
+    boolean hasDisconnected() {
         if (context.channel().isActive() && context.channel().unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
             socket.read();
         }
         return !context.channel().isActive();
     }
 
-    /** Notes raw bytes, which may be a part of a head. */
-    void bytesRead() {
+    /** Records raw bytes, which may be a part of a request head. */
+    void onBytesRead() {
         lastReadAt = state.nowMillis();
         if (partialHeadSince < 0 && head == null) {
             partialHeadSince = lastReadAt;
@@ -102,43 +104,43 @@
             ReferenceCountUtil.release(message);
             return;
         }
-        if (exchange != null || !waiting.isEmpty()) {
-            waiting.add(message);
-            if (waiting.size() > WAITING_PIECES) {
+        if (exchange != null || !queued.isEmpty()) {
+            queued.add(message);
+            if (queued.size() > MAX_QUEUED_MESSAGES) {
                 context.channel().config().setAutoRead(false);
             }
             return;
         }
-        take(message);
+        handle(message);
     }
 
-    private void take(Object message) {
+    private void handle(Object message) {
         try {
             if (message instanceof HttpRequest request) {
-                takeHead(request);
+                handleHead(request);
             }
             if (message instanceof HttpContent content && head != null) {
-                takeBody(content);
+                handleContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void takeHead(HttpRequest request) {
+    private void handleHead(HttpRequest request) {
         partialHeadSince = -1;
         head = request;
         arrivedAt = state.nowMillis();
         problem = null;
-        admittance = null;
-        facts = null;
+        access = null;
+        metadata = null;
         body = Unpooled.buffer(0);
         if (request.decoderResult().isFailure()) {
-            refuseUnread(unreadable(request.decoderResult().cause()));
+            refuseUnread(decodeError(request.decoderResult().cause()));
             return;
         }
         try {
-            facts = state.platform().requests().read(request);
+            metadata = state.platform().requests().read(request);
         } catch (IllegalArgumentException malformed) {
             problem = ErrorKind.MALFORMED_REQUEST;
             return;
@@ -150,7 +152,7 @@
         }
     }
 
-    private static ErrorKind unreadable(Throwable cause) {
+    private static ErrorKind decodeError(Throwable cause) {
         boolean tooLong = cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException;
         return tooLong ? ErrorKind.HEADERS_TOO_LARGE : ErrorKind.MALFORMED_REQUEST;
     }
@@ -161,19 +163,19 @@
             return;
         }
         if (state.configuration().isEmpty()) {
-            // Without a configuration nothing is known to be wrong with the request.
+            // Without a configuration the request can't be judged: the error is the relay's, not the caller's.
             problem = ErrorKind.LOG_UNAVAILABLE;
             return;
         }
-        admittance = state.configuration().get().authorize(facts.host(), head.uri(), facts.credential());
-        if (admittance instanceof AccessDecision.Denied denied) {
+        access = state.configuration().get().authorize(metadata.host(), head.uri(), metadata.credential());
+        if (access instanceof AccessDecision.Denied denied) {
             problem = denied.error();
-        } else if (!state.accepts(((AccessDecision.Granted) admittance).route())) {
+        } else if (!state.accepts(((AccessDecision.Granted) access).route())) {
             problem = ErrorKind.DRAINING;
         }
     }
 
-    private void takeBody(HttpContent content) {
+    private void handleContent(HttpContent content) {
         if (content.decoderResult().isFailure()) {
             refuseUnread(ErrorKind.MALFORMED_REQUEST);
             return;
@@ -187,41 +189,41 @@
             body.writeBytes(content.content());
         }
         if (content instanceof LastHttpContent) {
-            served();
+            onRequestComplete();
         }
     }
 
-    /** The request is whole. */
-    private void served() {
+    /** Rejects the complete request or starts its exchange. */
+    private void onRequestComplete() {
         if (problem != null) {
             ErrorKind error = problem;
             logDenied(error);
-            refuse(error, facts == null ? "" : facts.id(), callerLeft());
+            refuse(error, metadata == null ? "" : metadata.id(), remainingMillis());
             body.release();
             nextRequest();
             return;
         }
-        RequestPlan plan = new RequestPlan(state, facts, (AccessDecision.Granted) admittance, arrivedAt);
+        RequestPlan plan = new RequestPlan(state, metadata, (AccessDecision.Granted) access, arrivedAt);
         exchange = new Exchange(state, pools, this, head, body, plan);
         if (state.eventLoopLag().isLate(state.nowMillis())) {
-            startAfterATurn(exchange);
+            startAfterRead(exchange);
         } else {
             exchange.start();
         }
     }
 
     /**
-     * Starts a request once the loop has read its connections again. The time begins with the tasks of this turn: begun
-     * while connections are read it could be over in the same turn, as long as many are ready, and no close was seen
-     * (400 callers that left while a relay stood still: their requests were sent on).
+     * Starts an exchange once the event loop has read its connections again. The delay is scheduled from a task:
+     * scheduled while connections are read, it could expire in the same iteration if many are ready, before their close
+     * is read (400 callers disconnected while a relay was stalled, and their requests were sent on).
      */
-    private void startAfterATurn(Exchange waiting) {
+    private void startAfterRead(Exchange waiting) {
         EventExecutor loop = context.executor();
-        loop.execute(() -> loop.schedule(waiting::start, LATE_TURN_MILLIS, TimeUnit.MILLISECONDS));
+        loop.execute(() -> loop.schedule(waiting::start, LATE_START_DELAY_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    private long callerLeft() {
-        return facts == null ? 0 : facts.deadlineMillis().orElse(0) - (state.nowMillis() - arrivedAt);
+    private long remainingMillis() {
+        return metadata == null ? 0 : metadata.deadlineMillis().orElse(0) - (state.nowMillis() - arrivedAt);
     }
 
     private void logDenied(ErrorKind error) {
@@ -230,11 +232,11 @@
                 .info(
                         "request_denied",
                         "request",
-                        facts == null ? "" : facts.id(),
+                        metadata == null ? "" : metadata.id(),
                         "error",
                         error.wireName(),
                         "host",
-                        facts == null ? "" : facts.host(),
+                        metadata == null ? "" : metadata.host(),
                         "path",
                         head == null ? "" : head.uri(),
                         "configuration",
@@ -243,53 +245,60 @@
                                 .orElse("none"));
     }
 
-    /** Answers before the request is read in full; what is left of it would be taken for a request. */
+    /**
+     * Rejects a request before it is read in full and closes the connection; the rest would be parsed as another
+     * request.
+     */
     private void refuseUnread(ErrorKind error) {
         logDenied(error);
-        refuse(error, facts == null ? "" : facts.id(), 0);
+        refuse(error, metadata == null ? "" : metadata.id(), 0);
         releaseBody();
         head = null;
-        closeGently();
+        closeGracefully();
     }
 
-    /** Answers with an error of our own. */
-    void refuse(ErrorKind error, String requestId, long leftMillis) {
-        closing |= !answers.error(head, error, requestId, leftMillis);
+    /** Writes a local error reply. */
+    void refuse(ErrorKind error, String requestId, long remainingMillis) {
+        closing |= !writer.error(head, error, requestId, remainingMillis);
     }
 
-    /** Answers with an error of our own that holds for so long, in ms, whenever the caller comes back. */
-    void refuseFor(ErrorKind error, String requestId, long millis) {
-        closing |= !answers.errorFor(head, error, requestId, millis);
+    /** Writes a local error reply that asks the caller to retry after the given time, regardless of its deadline. */
+    void refuseWithRetryAfter(ErrorKind error, String requestId, long millis) {
+        closing |= !writer.errorWithRetryAfter(head, error, requestId, millis);
     }
 
-    /** Answers with a target's answer that is whole. */
+    /** Writes a target's complete response. */
     void answer(HttpResponse from, HttpHeaders headers, ByteBuf content) {
-        closing |= !answers.whole(head, from, headers, content);
+        closing |= !writer.full(head, from, headers, content);
     }
 
-    /** Begins an answer that comes in pieces. */
+    /** Writes the head of a response that is sent in chunks. */
     void begin(HttpResponse from, HttpHeaders headers) {
-        closing |= !answers.begin(head, from, headers);
+        closing |= !writer.begin(head, from, headers);
     }
 
-    /** Passes on a piece, which is taken over. */
-    void write(ByteBuf piece) {
-        answers.piece(piece);
+    /** Writes a chunk of the body and takes ownership of it. */
+    void write(ByteBuf chunk) {
+        writer.content(chunk);
     }
 
-    /** Ends an answer that came in pieces. */
+    /** Ends a response that was sent in chunks. */
     void finish() {
-        answers.end();
+        writer.end();
     }
 
-    /** Ends the connection in the middle of an answer, so that it doesn't look complete. */
+    /**
+     * Closes the connection once everything written was sent. The linger time starts then: started at the last write,
+     * it would cut off what a slow reader hasn't received yet. A caller that reads nothing any more is closed after the
+     * idle timeout.
+     */
     void abort() {
         closing = true;
-        answers.abort();
+        writer.abort();
     }
 
-    /** Goes on with the next request. */
-    void exchangeEnded() {
+    /** Continues with the next request after an exchange has ended. */
+    void onExchangeEnded() {
         exchange = null;
         nextRequest();
     }
@@ -299,30 +308,30 @@
         body = null;
         lastReadAt = state.nowMillis();
         if (closing) {
-            closeGently();
+            closeGracefully();
             return;
         }
-        if (proceeding) {
+        if (drainingQueue) {
             return;
         }
-        proceeding = true;
-        while (exchange == null && !closing && !waiting.isEmpty()) {
-            take(waiting.poll());
+        drainingQueue = true;
+        while (exchange == null && !closing && !queued.isEmpty()) {
+            handle(queued.poll());
         }
-        proceeding = false;
-        if (waiting.isEmpty()) {
+        drainingQueue = false;
+        if (queued.isEmpty()) {
             context.channel().config().setAutoRead(true);
         }
     }
 
     /**
-     * Closes the connection once all that was written has left. The time in which it is still read begins then: from
-     * the last write on, a caller that reads slowly would lose what waits for it here. One that reads nothing any more
-     * is waited for as long as an idle one.
+     * Closes the connection once everything written was sent. The linger time starts then: started at the last write,
+     * it would cut off what a slow reader hasn't received yet. A caller that reads nothing any more is closed after the
+     * idle timeout.
      */
-    private void closeGently() {
+    private void closeGracefully() {
         closing = true;
-        dropWaiting();
+        releaseQueued();
         context.channel().config().setAutoRead(true);
         if (context.channel() instanceof SocketChannel socket && socket.isActive()) {
             context.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(written -> {
@@ -337,7 +346,7 @@
         context.executor().schedule(() -> context.close(), millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Looks whether the caller takes too long; called every now and then. */
+    /** Closes the connection if the caller is too slow or idle; called periodically. */
     void sweep(long nowMillis, boolean closeIdle) {
         if (exchange != null || closing) {
             return;
@@ -358,7 +367,7 @@
         }
     }
 
-    /** Returns whether a request is being read or served, or a part of an answer hasn't left yet. */
+    /** Returns whether a request is being read or served, or a response isn't sent in full. */
     boolean isBusy() {
         return exchange != null || head != null || partialHeadSince >= 0 || hasUnsent();
     }
@@ -368,16 +377,16 @@
         return unsent != null && unsent.totalPendingWriteBytes() > 0;
     }
 
-    /** The process ends: whoever waits for an answer gets its last one. */
+    /** Ends the exchange on shutdown; its caller gets a final response. */
     void onShutdown() {
         if (exchange != null) {
-            exchange.processEnds();
+            exchange.onShutdown();
         }
     }
 
-    private void dropWaiting() {
-        waiting.forEach(ReferenceCountUtil::release);
-        waiting.clear();
+    private void releaseQueued() {
+        queued.forEach(ReferenceCountUtil::release);
+        queued.clear();
     }
 
     private void releaseBody() {
@@ -390,17 +399,17 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext active) {
         if (exchange != null) {
-            exchange.callerWritable(active.channel().isWritable());
+            exchange.onCallerWritabilityChanged(active.channel().isWritable());
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext active) {
-        open.remove(this);
+        connections.remove(this);
         closing = true;
-        dropWaiting();
+        releaseQueued();
         if (exchange != null) {
-            exchange.cancelled();
+            exchange.onCallerDisconnected();
         } else if (head != null) {
             releaseBody();
         }
@@ -408,7 +417,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext active, Throwable cause) {
-        // A reset by the caller: what it asked for is cancelled when the connection ends, right after this.
+        // Reset by the caller: channelInactive follows and cancels the exchange.
         active.close();
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CrashDetector.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CrashDetector.java
@@ -12,68 +12,70 @@
 import org.rattanrudder.core.quarantine.RequestFingerprint;
 
 /**
- * Tells the unplanned end of a target from the end of single connections: nothing listens at its address any more.
+ * Tells a crash of a target from broken connections: after a crash no process listens at its address.
  *
- * <p>While a process ends, its connections may be closed before it stops to listen. A dial that opens therefore proves
- * only by its connection's lasting that the target lives.
+ * <p>An ending process may close its connections before its listening socket. A successful dial therefore proves that
+ * the target is alive only if the new connection stays open.
  */
 final class CrashDetector {
-    /** How long requests are gathered whose connections the same end has broken, in ms. */
-    private static final long GATHER_MILLIS = 20;
+    /** How long to collect the requests whose connections were broken by the same crash. */
+    private static final long COLLECT_MILLIS = 20;
 
-    /** How long a connection must last that was opened to see whether its target lives, in ms. */
-    static final long LASTING_MILLIS = 100;
+    /** How long a new connection must stay open to prove that its target is alive. */
+    static final long MIN_OPEN_MILLIS = 100;
 
-    /** Dials after which a target whose connections don't last counts as one that lives. */
-    static final int MOST_DIALS = 4;
+    /** Dials after which a target whose connections don't stay open counts as alive. */
+    static final int MAX_DIALS = 4;
 
     private final EventLoop loop;
-    private final Map<Target, Set<RequestFingerprint>> broken = new HashMap<>();
-    private BiConsumer<Target, Consumer<Dial>> probe = (target, then) -> {};
+    private final Map<Target, Set<RequestFingerprint>> requestsByTarget = new HashMap<>();
+    private BiConsumer<Target, Consumer<DialResult>> probe = (target, then) -> {};
     private BiConsumer<Target, Set<RequestFingerprint>> listener = (target, requests) -> {};
 
     CrashDetector(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** Sets what dials a target, and who is told of ends with the requests that were there. */
-    void use(BiConsumer<Target, Consumer<Dial>> newProbe, BiConsumer<Target, Set<RequestFingerprint>> newListener) {
+    /** Sets the probe that dials a target, and the listener for crashes with the requests that were running there. */
+    void use(
+            BiConsumer<Target, Consumer<DialResult>> newProbe,
+            BiConsumer<Target, Set<RequestFingerprint>> newListener) {
         probe = newProbe;
         listener = newListener;
     }
 
-    /** Notes that a request's connection to its target broke in the middle of an attempt. */
-    void broken(Target target, RequestFingerprint request) {
-        Set<RequestFingerprint> gathered = broken.get(target);
+    /** Records that a request's connection to its target broke in the middle of an attempt. */
+    void onConnectionBroken(Target target, RequestFingerprint request) {
+        Set<RequestFingerprint> gathered = requestsByTarget.get(target);
         if (gathered != null) {
             gathered.add(request);
         } else if (!target.registration().draining()) {
-            broken.put(target, new LinkedHashSet<>(Set.of(request)));
+            requestsByTarget.put(target, new LinkedHashSet<>(Set.of(request)));
             dial(target, 1);
         }
     }
 
     private void dial(Target target, int dials) {
-        probe.accept(target, found -> dialled(target, found, dials));
+        probe.accept(target, found -> onDialed(target, found, dials));
     }
 
-    private void dialled(Target target, Dial found, int dials) {
-        switch (found.result()) {
-            case REFUSED -> later(() -> listener.accept(target, broken.remove(target)), GATHER_MILLIS);
-            case OPENED, BROKEN -> later(() -> lookAgain(target, found, dials), LASTING_MILLIS);
-            default -> broken.remove(target);
+    private void onDialed(Target target, DialResult found, int dials) {
+        switch (found.outcome()) {
+            case REFUSED -> schedule(() -> listener.accept(target, requestsByTarget.remove(target)), COLLECT_MILLIS);
+            case OPENED, BROKEN -> schedule(() -> recheck(target, found, dials), MIN_OPEN_MILLIS);
+            default -> requestsByTarget.remove(target);
         }
     }
 
-    private void lookAgain(Target target, Dial found, int dials) {
-        if (found.lasts() || dials >= MOST_DIALS) {
-            broken.remove(target);
+    private void recheck(Target target, DialResult found, int dials) {
+        if (found.isStillOpen() || dials >= MAX_DIALS) {
+            requestsByTarget.remove(target);
         } else {
             dial(target, dials + 1);
         }
     }
 
-    private void later(Runnable step, long millis) {
+    private void schedule(Runnable step, long millis) {
         loop.schedule(step, millis, TimeUnit.MILLISECONDS);
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -26,11 +26,11 @@
 import org.rattanrudder.daemon.relay.port.ResponseMetadata;
 
 /**
- * One request from its admission to its end: it picks a target, sends the request, passes the answer on, and goes to
- * another target where that is allowed.
+ * Serves one request from admission to its end: picks a target, sends the request, forwards the response, and retries
+ * on another target where that is allowed.
  */
-final class Exchange implements AnswerSink {
-    /** How long before the deadline the caller gets its final answer, in ms: the way to it and a late timer. */
+final class Exchange implements ResponseSink {
+    /** How long before the deadline the caller gets its final response: covers network time and a late timer. */
     private static final long ANSWER_MARGIN_MILLIS = 10;
 
     private final RelayState state;
@@ -39,20 +39,20 @@
     private final HttpRequest head;
     private final ByteBuf body;
     private final RequestPlan plan;
-    private final AnswerRelay answer;
+    private final ResponseForwarder forwarder;
     private final ExchangeLog log;
-    private final LineWait wait;
+    private final QueueWait queueWait;
     private final QuarantineCheck quarantine;
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> triedTargets = new HashSet<>();
     private ScheduledFuture<?> deadline;
-    private SilenceWatch silence;
+    private InactivityMonitor inactivity;
     private TargetAttempt attempt;
     private Optional<TargetAttempt> lastAttempt = Optional.empty();
     private String load = "unknown";
     private boolean ended;
-    private boolean counted;
+    private boolean countedInBudget;
     private int runs;
-    private int unrunSends;
+    private int notRunSends;
 
     Exchange(
             RelayState state,
@@ -67,58 +67,58 @@
         this.head = head;
         this.body = body;
         this.plan = plan;
-        answer = new AnswerRelay(
+        forwarder = new ResponseForwarder(
                 caller,
                 state.platform().requests(),
                 plan.route().repeat(),
                 () -> state.metrics().recordFirstByte(plan.route().name(), state.nowMillis() - plan.arrivedAt()));
         log = new ExchangeLog(state, plan);
-        wait = new LineWait(state, plan, this, log);
+        queueWait = new QueueWait(state, plan, this, log);
         quarantine = new QuarantineCheck(state, plan, head.uri(), body);
     }
 
-    /** Begins: the request is whole and may be served. */
+    /** Starts the exchange; the request has been read in full and is admitted. */
     void start() {
         if (ended) {
             return;
         }
-        long left = Math.max(1, plan.left() - ANSWER_MARGIN_MILLIS);
-        deadline = state.loop().schedule(this::deadlineReached, left, TimeUnit.MILLISECONDS);
+        long left = Math.max(1, plan.remainingMillis() - ANSWER_MARGIN_MILLIS);
+        deadline = state.loop().schedule(this::onDeadline, left, TimeUnit.MILLISECONDS);
         if (!refuseIfQuarantined()) {
             place();
         }
     }
 
-    /** Ends the request if targets have ended under it; returns whether it did. */
+    /** Ends the request if it is quarantined because targets crashed while running it; returns whether it did. */
     private boolean refuseIfQuarantined() {
-        OptionalLong left = quarantine.leftMillis();
+        OptionalLong left = quarantine.remainingMillis();
         if (left.isEmpty()) {
             return false;
         }
         String reason = "quarantined as " + quarantine.fingerprint();
-        if (answer.began()) {
-            breakOff(reason);
+        if (forwarder.hasBegun()) {
+            abortResponse(reason);
         } else if (runs > 0) {
             end(ErrorKind.TARGET_FAILED, reason);
         } else {
-            caller.refuseFor(ErrorKind.REQUEST_QUARANTINED, plan.id(), left.getAsLong());
-            finished(ErrorKind.REQUEST_QUARANTINED.wireName(), reason);
+            caller.refuseWithRetryAfter(ErrorKind.REQUEST_QUARANTINED, plan.id(), left.getAsLong());
+            finish(ErrorKind.REQUEST_QUARANTINED.wireName(), reason);
         }
         return true;
     }
 
-    /** Sends the request to an engine with room, or waits in line for one; other services take it at once. */
+    /** Sends the request to an engine with room, or queues it. Requests of other services are sent without queueing. */
     private void place() {
-        if (plan.engine().isEmpty() || answer.began() || !isAnotherLeft()) {
-            placeAnywhere();
+        if (plan.engine().isEmpty() || forwarder.hasBegun() || !hasUntriedTarget()) {
+            placeOnAnyTarget();
             return;
         }
         if (state.holdingQueue(plan.service()).size() > 0 || !placeInWindow()) {
-            wait.join(!tried.isEmpty());
+            queueWait.join(!triedTargets.isEmpty());
         }
     }
 
-    /** Sends the request if an engine has room for it. */
+    /** Sends the request if an engine has room for it; returns whether it was sent. */
     boolean placeInWindow() {
         long now = state.nowMillis();
         boolean late = now > plan.onTimeUntil();
@@ -129,31 +129,31 @@
                         late,
                         now)
                 .stream()
-                .filter(target -> !tried.contains(target.id()))
+                .filter(target -> !triedTargets.contains(target.id()))
                 .toList();
-        Optional<Placement.Choice> choice = Placement.choose(open, plan.query(tried, now), now);
+        Optional<Placement.Choice> choice = Placement.choose(open, plan.query(triedTargets, now), now);
         choice.ifPresent(found -> {
-            wait.leave();
+            queueWait.leave();
             sendTo(found);
         });
         return choice.isPresent();
     }
 
-    /** The line is too long for a request that will be late: it is refused, and its caller told when to come back. */
+    /** Rejects the queued request: the queue is too long for one that will be late. The response says when to retry. */
     void refuseFromLine() {
         if (!ended) {
             end(runs > 0 ? ErrorKind.TARGET_FAILED : ErrorKind.OVERLOADED, "line too long");
         }
     }
 
-    private void placeAnywhere() {
+    private void placeOnAnyTarget() {
         long now = state.nowMillis();
         List<Target> targets = state.fleet().activeTargets(plan.service(), now);
-        Optional<Placement.Choice> choice = Placement.choose(targets, plan.query(tried, now), now);
+        Optional<Placement.Choice> choice = Placement.choose(targets, plan.query(triedTargets, now), now);
         if (choice.isPresent()) {
             sendTo(choice.get());
-        } else if (answer.began()) {
-            breakOff("no target");
+        } else if (forwarder.hasBegun()) {
+            abortResponse("no target");
         } else if (runs > 0) {
             end(ErrorKind.TARGET_FAILED, "no target");
         } else if (targets.isEmpty()) {
@@ -168,43 +168,43 @@
             return;
         }
         Target target = choice.target();
-        tried.add(target.id());
-        log.placed(choice, tried.size());
+        triedTargets.add(target.id());
+        log.placed(choice, triedTargets.size());
         boolean repeatable = plan.route().repeat().repeatable();
-        // It counts from now on: what is placed while its connection opens would all go to the same target.
-        Target.RequestCost expected = plan.expectedWork();
+        // Counted from now on: otherwise all requests placed while the connection opens would go to the same target.
+        Target.RequestCost expected = plan.expectedCost();
         target.onSent(expected, state.nowMillis());
         state.placementBroadcaster().recordPlacement(target);
         pools.acquire(target, repeatable, opened -> {
             target.onEnded(expected, false);
-            connected(target, opened);
+            onConnected(target, opened);
         });
     }
 
-    private void connected(Target target, TargetConnection opened) {
-        if (ended || (state.eventLoopLag().isLate(state.nowMillis()) && caller.hasLeft())) {
+    private void onConnected(Target target, TargetConnection opened) {
+        if (ended || (state.eventLoopLag().isLate(state.nowMillis()) && caller.hasDisconnected())) {
             if (opened != null) {
                 opened.abort();
             }
             return;
         }
         if (opened == null) {
-            log.failed(target.id(), AttemptOutcome.NOT_SENT, "unreachable", 0, answer.began());
+            log.failed(target.id(), AttemptOutcome.NOT_SENT, "unreachable", 0, forwarder.hasBegun());
             state.metrics()
                     .recordAttempt(
                             plan.service(), AttemptOutcome.NOT_SENT.name().toLowerCase(Locale.ROOT));
-            goOn(AttemptOutcome.NOT_SENT, "unreachable");
+            retryOrEnd(AttemptOutcome.NOT_SENT, "unreachable");
             return;
         }
         send(target, opened);
     }
 
     private void send(Target target, TargetConnection opened) {
-        RequestPlan.Outgoing outgoing = plan.outgoing(target, answer.lastEventId());
+        RequestPlan.Outgoing outgoing = plan.outgoing(target, forwarder.lastEventId());
         attempt = new TargetAttempt(target, opened, outgoing, state.nowMillis());
         lastAttempt = Optional.of(attempt);
-        if (!counted) {
-            counted = true;
+        if (!countedInBudget) {
+            countedInBudget = true;
             state.retryBudget(plan.service()).onRequest(state.nowMillis());
         }
         HttpHeaders headers = state.platform().requests().forTarget(head.headers(), outgoing.forwarding());
@@ -213,15 +213,15 @@
             HttpUtil.setContentLength(request, body.readableBytes());
         }
         opened.send(request, body.retainedDuplicate(), plan.id(), this);
-        silence = new SilenceWatch(state, plan.route(), attempt, () -> pools.verify(target), this::silent);
-        silence.look();
+        inactivity = new InactivityMonitor(state, plan.route(), attempt, () -> pools.verify(target), this::onInactive);
+        inactivity.check();
     }
 
-    /** The target has been silent for too long: another one is tried if that is allowed. */
-    private void silent(long quietMillis) {
+    /** Called when the target has been inactive for too long: retries on another target if that is allowed. */
+    private void onInactive(long idleMillis) {
         if (RetryPolicy.mayRetry(progress(1), AttemptOutcome.SILENT) && state.tryAcquireRetry(plan.service())) {
             attempt.connection().abort();
-            closeAttempt(AttemptOutcome.SILENT, "silent for " + quietMillis + " ms");
+            failAttempt(AttemptOutcome.SILENT, "silent for " + idleMillis + " ms");
             runs++;
             place();
         }
@@ -229,180 +229,193 @@
 
     private RetryPolicy.Progress progress(int running) {
         return new RetryPolicy.Progress(
-                plan.route(), runs + running, unrunSends, answer.began(), answer.isResumable(), plan.left());
+                plan.route(),
+                runs + running,
+                notRunSends,
+                forwarder.hasBegun(),
+                forwarder.isResumable(),
+                plan.remainingMillis());
     }
 
     @Override
-    public void head(HttpResponse response, ResponseMetadata facts) {
+    public void onHead(HttpResponse response, ResponseMetadata metadata) {
         Target target = attempt.target();
-        facts.load().ifPresent(told -> {
-            load = told.running() + "/" + told.queued();
-            target.updateReportedLoad(told.running(), told.queued(), state.nowMillis());
+        metadata.load().ifPresent(reported -> {
+            load = reported.running() + "/" + reported.queued();
+            target.updateReportedLoad(reported.running(), reported.queued(), state.nowMillis());
         });
-        plan.facts()
+        plan.metadata()
                 .model()
-                .ifPresent(model ->
-                        facts.weights().ifPresent(version -> target.confirmWeights(model, version, state.nowMillis())));
-        ResponseClassifier.Head judged =
-                new ResponseClassifier.Head(facts.status(), facts.signed(), facts.notRun(), facts.misdirected());
-        switch (ResponseClassifier.classify(judged, progress(1))) {
-            case FORWARD -> answer.head(response);
-            case MISDIRECTED -> misdirected(target, facts);
+                .ifPresent(model -> metadata.weights()
+                        .ifPresent(version -> target.confirmWeights(model, version, state.nowMillis())));
+        ResponseClassifier.Head classified = new ResponseClassifier.Head(
+                metadata.status(), metadata.signed(), metadata.notRun(), metadata.misdirected());
+        switch (ResponseClassifier.classify(classified, progress(1))) {
+            case FORWARD -> forwarder.head(response);
+            case MISDIRECTED -> onMisdirected(target, metadata);
             case REJECTED -> {
                 target.onRejected(state.nowMillis());
-                drop(AttemptOutcome.REJECTED, "rejected with " + facts.status());
+                discardResponse(AttemptOutcome.REJECTED, "rejected with " + metadata.status());
             }
             case INVALID_RESPONSE -> {
                 attempt.connection().abort();
-                failed(AttemptOutcome.BROKEN, "success without a signature");
+                onAttemptFailed(AttemptOutcome.BROKEN, "success without a signature");
             }
-            case RETRY_OR_FAIL -> drop(AttemptOutcome.FAILED, "failed with " + facts.status());
+            case RETRY_OR_FAIL -> discardResponse(AttemptOutcome.FAILED, "failed with " + metadata.status());
             default -> throw new IllegalStateException("unknown verdict");
         }
     }
 
-    /** Leaves the rest of an answer unheard; its connection can be used again. */
-    private void drop(AttemptOutcome outcome, String reason) {
+    /** Ignores the rest of a response; its connection can be reused. */
+    private void discardResponse(AttemptOutcome outcome, String reason) {
         attempt.connection().detach();
-        failed(outcome, reason);
+        onAttemptFailed(outcome, reason);
     }
 
-    private void misdirected(Target target, ResponseMetadata facts) {
-        Optional<String> other = facts.target().filter(id -> !id.equals(target.id()));
+    private void onMisdirected(Target target, ResponseMetadata metadata) {
+        Optional<String> other = metadata.target().filter(id -> !id.equals(target.id()));
         if (other.isPresent()) {
             state.log().warn("target_replaced", "target", target.id(), "found", other.get());
             state.fleet().removeReplaced(target.id());
         } else {
             target.onRejected(state.nowMillis());
         }
-        drop(AttemptOutcome.MISDIRECTED, other.isPresent() ? "another target" : "other weights");
+        discardResponse(AttemptOutcome.MISDIRECTED, other.isPresent() ? "another target" : "other weights");
     }
 
     @Override
-    public void content(ByteBuf piece) {
-        if (attempt.piece(state.nowMillis())) {
+    public void onContent(ByteBuf chunk) {
+        if (attempt.onContent(state.nowMillis())) {
             state.fetchLateness().recordFirstByte(attempt, state.directory(), state.nowMillis());
             state.dispatchQueued(plan.service());
         }
-        answer.content(piece);
+        forwarder.content(chunk);
     }
 
     @Override
-    public void complete() {
-        if (answer.status() == 0) {
-            failed(AttemptOutcome.BROKEN, "no head");
+    public void onComplete() {
+        if (forwarder.status() == 0) {
+            onAttemptFailed(AttemptOutcome.BROKEN, "no head");
             return;
         }
-        answer.complete();
+        forwarder.complete();
         Target target = attempt.target();
         long now = state.nowMillis();
-        if (answer.status() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code()) {
+        if (forwarder.status() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code()) {
             target.recordFailure(0, now);
         } else {
-            quarantine.answered();
+            quarantine.onAnswered();
             long taken = plan.route().repeat().stream() ? attempt.firstPieceMillis() : now - attempt.sentAt();
-            target.recordSuccess(taken - plan.expectedFirstMillis(), now);
+            target.recordSuccess(taken - plan.expectedFirstByteMillis(), now);
         }
         endAttempt("answered");
-        finished(Integer.toString(answer.status()), "passed on");
+        finish(Integer.toString(forwarder.status()), "passed on");
     }
 
     @Override
-    public void broken(String reason) {
-        failed(AttemptOutcome.BROKEN, reason);
+    public void onBroken(String reason) {
+        onAttemptFailed(AttemptOutcome.BROKEN, reason);
     }
 
-    /** The caller takes more, or can't for now: its target waits meanwhile. */
-    void callerWritable(boolean now) {
+    /** Pauses or resumes reading from the target as the caller becomes unwritable or writable. */
+    void onCallerWritabilityChanged(boolean now) {
         if (attempt != null) {
-            attempt.connection().reading(now);
+            attempt.connection().setReading(now);
         }
     }
 
-    private void failed(AttemptOutcome outcome, String reason) {
+    private void onAttemptFailed(AttemptOutcome outcome, String reason) {
         if (!ended) {
-            closeAttempt(outcome, reason);
-            goOn(outcome, reason);
+            failAttempt(outcome, reason);
+            retryOrEnd(outcome, reason);
         }
     }
 
-    /** An attempt has failed: goes to another target if that is allowed, else ends. */
-    private void goOn(AttemptOutcome outcome, String reason) {
+    /** Retries a failed attempt on another target if that is allowed, or ends the request. */
+    private void retryOrEnd(AttemptOutcome outcome, String reason) {
         if (outcome.mayHaveRun()) {
             runs++;
         } else {
-            unrunSends++;
+            notRunSends++;
         }
-        boolean useful = outcome != AttemptOutcome.REJECTED || isAnotherLeft();
-        boolean allowed = useful && RetryPolicy.mayRetry(progress(0), outcome) && !quarantine.mayHaveBeenLast(outcome);
-        if (allowed && (!counted || state.tryAcquireRetry(plan.service()))) {
+        boolean worthwhile = outcome != AttemptOutcome.REJECTED || hasUntriedTarget();
+        boolean allowed =
+                worthwhile && RetryPolicy.mayRetry(progress(0), outcome) && !quarantine.mayHaveCausedLastCrash(outcome);
+        if (allowed && (!countedInBudget || state.tryAcquireRetry(plan.service()))) {
             place();
-        } else if (answer.began()) {
-            breakOff(reason);
+        } else if (forwarder.hasBegun()) {
+            abortResponse(reason);
         } else {
             end(RetryPolicy.finalError(runs, outcome), reason);
         }
     }
 
-    /** Returns whether a target is left that hasn't refused the request: asking one again at once is of no use. */
-    private boolean isAnotherLeft() {
+    /**
+     * Returns whether a target is left that hasn't been tried: retrying a target that has just rejected the request is
+     * of no use.
+     */
+    private boolean hasUntriedTarget() {
         return state.fleet().activeTargets(plan.service(), state.nowMillis()).stream()
-                .anyMatch(target -> !tried.contains(target.id()));
+                .anyMatch(target -> !triedTargets.contains(target.id()));
     }
 
-    /** Ends an attempt that failed. */
-    private void closeAttempt(AttemptOutcome outcome, String reason) {
+    /** Records and ends a failed attempt. */
+    private void failAttempt(AttemptOutcome outcome, String reason) {
         Target target = attempt.target();
         long after = state.nowMillis() - attempt.sentAt();
         if (outcome.mayHaveRun()) {
             target.recordFailure(after, state.nowMillis());
         }
         if (outcome == AttemptOutcome.BROKEN) {
-            log.broken(target.id(), reason, after, answer.began(), quarantine.fingerprint());
-            quarantine.broken(target);
+            log.broken(target.id(), reason, after, forwarder.hasBegun(), quarantine.fingerprint());
+            quarantine.onConnectionBroken(target);
         } else {
-            log.failed(target.id(), outcome, reason, after, answer.began());
+            log.failed(target.id(), outcome, reason, after, forwarder.hasBegun());
         }
         endAttempt(outcome.name().toLowerCase(Locale.ROOT));
     }
 
     private void endAttempt(String outcome) {
-        silence.stop();
+        inactivity.stop();
         attempt.end();
         attempt = null;
-        answer.discard();
+        forwarder.discard();
         state.metrics().recordAttempt(plan.service(), outcome);
         state.dispatchQueued(plan.service());
     }
 
-    private void deadlineReached() {
-        giveUp(ErrorKind.DEADLINE_UNREACHABLE, "deadline");
+    private void onDeadline() {
+        abandon(ErrorKind.DEADLINE_UNREACHABLE, "deadline");
     }
 
-    /** The process ends while the request is served. */
-    void processEnds() {
-        giveUp(ErrorKind.DRAINING, "process ends");
+    /** Called when the process shuts down before the request has ended. */
+    void onShutdown() {
+        abandon(ErrorKind.DRAINING, "process ends");
     }
 
-    /** Ends the request whatever becomes of its attempt; the error is for one that was never sent. */
-    private void giveUp(ErrorKind unsent, String reason) {
+    /**
+     * Ends the request regardless of its attempt's state.
+     *
+     * @param unsent the error for a request that was never sent
+     */
+    private void abandon(ErrorKind unsent, String reason) {
         if (ended) {
             return;
         }
         if (attempt != null) {
             attempt.connection().abort();
-            closeAttempt(AttemptOutcome.SILENT, reason);
+            failAttempt(AttemptOutcome.SILENT, reason);
             runs++;
         }
-        if (answer.began()) {
-            breakOff(reason);
+        if (forwarder.hasBegun()) {
+            abortResponse(reason);
         } else {
             end(runs > 0 ? ErrorKind.TARGET_SILENT : unsent, reason);
         }
     }
 
-    /** The caller has gone: the target's work is of no use any more. */
-    void cancelled() {
+    /** Cancels the request after the caller disconnected; the target's work is of no more use. */
+    void onCallerDisconnected() {
         if (ended) {
             return;
         }
@@ -410,29 +423,29 @@
             attempt.connection().abort();
             endAttempt("cancelled");
         }
-        finished("cancelled", "caller left");
+        finish("cancelled", "caller left");
     }
 
-    private void breakOff(String reason) {
+    private void abortResponse(String reason) {
         caller.abort();
-        finished("broken_off", reason);
+        finish("broken_off", reason);
     }
 
     private void end(ErrorKind error, String reason) {
-        caller.refuse(error, plan.id(), plan.left());
-        finished(error.wireName(), reason);
+        caller.refuse(error, plan.id(), plan.remainingMillis());
+        finish(error.wireName(), reason);
     }
 
-    private void finished(String outcome, String reason) {
+    private void finish(String outcome, String reason) {
         ended = true;
-        wait.leave();
+        queueWait.leave();
         if (deadline != null) {
             deadline.cancel(false);
         }
-        answer.discard();
+        forwarder.discard();
         body.release();
         state.metrics().recordRequest(plan.route().name(), outcome);
-        log.ended(outcome, reason, lastAttempt, load, runs, unrunSends);
-        caller.exchangeEnded();
+        log.ended(outcome, reason, lastAttempt, load, runs, notRunSends);
+        caller.onExchangeEnded();
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
@@ -7,7 +7,7 @@
 import org.rattanrudder.core.gateway.AttemptOutcome;
 import org.rattanrudder.core.quarantine.RequestFingerprint;
 
-/** Writes one line for each decision on a request, with its id and what decided it. */
+/** Logs each decision on a request on one line, with the request ID and the inputs of the decision. */
 final class ExchangeLog {
     private final RelayState state;
     private final RequestPlan plan;
@@ -38,14 +38,14 @@
                         "attempt",
                         Integer.toString(attempt),
                         "left_ms",
-                        Long.toString(plan.left()),
+                        Long.toString(plan.remainingMillis()),
                         "configuration",
                         state.configuration()
                                 .map(configuration -> Long.toString(configuration.version()))
                                 .orElse("none"));
     }
 
-    void held(int inLine, long untilMillis, List<Target> targets, long now) {
+    void queued(int inLine, long untilMillis, List<Target> targets, long now) {
         state.log()
                 .info(
                         "request_held",
@@ -75,7 +75,7 @@
         failed(target, outcome, reason, afterMillis, answerBegan, "none");
     }
 
-    /** Writes the break of an attempt, with what is the same each time that its request comes. */
+    /** Logs a broken attempt with the fingerprint that identifies the request when it is sent again. */
     void broken(String target, String reason, long afterMillis, boolean answerBegan, RequestFingerprint fingerprint) {
         failed(target, AttemptOutcome.BROKEN, reason, afterMillis, answerBegan, fingerprint.toHex());
     }
@@ -107,13 +107,13 @@
     }
 
     /**
-     * Writes the end of a request.
+     * Logs the end of a request.
      *
      * @param attempt the last attempt that was sent
-     * @param runs attempts that may have run, beside one that was answered
-     * @param unrunSends attempts that surely did not run
+     * @param runs attempts that may have run, not counting one that was answered
+     * @param notRunSends attempts that certainly did not run
      */
-    void ended(String outcome, String reason, Optional<TargetAttempt> attempt, String load, int runs, int unrunSends) {
+    void ended(String outcome, String reason, Optional<TargetAttempt> attempt, String load, int runs, int notRunSends) {
         state.log()
                 .info(
                         "request_ended",
@@ -136,24 +136,24 @@
                         attempt.map(sent -> Long.toString(sent.firstPieceMillis()))
                                 .orElse("none"),
                         "longest_pause_ms",
-                        attempt.map(sent -> Long.toString(sent.longestPauseMillis()))
+                        attempt.map(sent -> Long.toString(sent.maxPauseMillis()))
                                 .orElse("none"),
                         "pause_objective_ms",
                         Long.toString(plan.route().maxPauseMillis()),
                         "tokens",
                         Integer.toString(plan.tokens()),
                         "unread",
-                        attempt.map(sent -> Integer.toString(sent.work().prefillTokens()))
+                        attempt.map(sent -> Integer.toString(sent.cost().prefillTokens()))
                                 .orElse("none"),
                         "load",
                         load,
                         "runs",
                         Integer.toString(runs),
                         "unrun_sends",
-                        Integer.toString(unrunSends),
+                        Integer.toString(notRunSends),
                         "objective_ms",
                         Long.toString(plan.route().objectiveMillis()),
                         "left_ms",
-                        Long.toString(plan.left()));
+                        Long.toString(plan.remainingMillis()));
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/InactivityTimer.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/InactivityTimer.java
@@ -5,45 +5,46 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs a check once something was silent for a time, unless it is cancelled before.
+ * Runs a check after a period of inactivity, unless it is cancelled before.
  *
- * <p>After a pause of the process the loop's timers run before its connections are read, and the pause looks like the
- * silence of others: what they sent lies there unread. A check that is late itself waits until connections were read.
+ * <p>After a pause of the process the event loop runs its timers before it reads its connections, so the pause looks
+ * like inactivity of others while their data is still unread. A check that is itself late is therefore postponed until
+ * connections were read.
  */
 final class InactivityTimer {
-    /** A check that is this late, in ms, shows that the loop stood still: usual timers are late by a few. */
-    private static final long LATE_MILLIS = 50;
+    /** A check that is later than this shows that the event loop was stalled: usual timers are late by a few ms. */
+    private static final long LATE_THRESHOLD_MILLIS = 50;
 
-    /** From a late check to the next, in ms: a timer that is set while tasks run never runs in the same turn. */
-    private static final long TURN_MILLIS = 2;
+    /** Delay of a late check: a timer set while tasks run never fires in the same iteration of the event loop. */
+    private static final long RECHECK_DELAY_MILLIS = 2;
 
     private final EventLoop loop;
     private final Runnable check;
-    private ScheduledFuture<?> next;
+    private ScheduledFuture<?> scheduled;
 
     private InactivityTimer(EventLoop loop, Runnable check) {
         this.loop = loop;
         this.check = check;
     }
 
-    /** Starts a timer; to be called, and cancelled, on the loop. */
+    /** Starts a timer; must be called, and cancelled, on the event loop. */
     static InactivityTimer start(EventLoop loop, Runnable check, long millis) {
         InactivityTimer timer = new InactivityTimer(loop, check);
         long dueAt = nowMillis() + millis;
-        timer.next = loop.schedule(() -> timer.due(dueAt), millis, TimeUnit.MILLISECONDS);
+        timer.scheduled = loop.schedule(() -> timer.onDue(dueAt), millis, TimeUnit.MILLISECONDS);
         return timer;
     }
 
-    private void due(long dueAt) {
-        if (nowMillis() - dueAt > LATE_MILLIS) {
-            next = loop.schedule(check, TURN_MILLIS, TimeUnit.MILLISECONDS);
+    private void onDue(long dueAt) {
+        if (nowMillis() - dueAt > LATE_THRESHOLD_MILLIS) {
+            scheduled = loop.schedule(check, RECHECK_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             check.run();
         }
     }
 
     void cancel() {
-        next.cancel(false);
+        scheduled.cancel(false);
     }
 
     private static long nowMillis() {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OwnAnswers.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/LocalReplies.java
@@ -13,43 +13,43 @@
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.daemon.relay.port.RequestDialect;
 
-/** Makes answers of our own: errors, and when to come back. */
-final class OwnAnswers {
-    /** The range of the time after which refused callers come back, in ms: spread, so that they don't come at once. */
-    private static final long SHORTEST_RETURN_MILLIS = 200;
+/** Creates responses of the relay itself: errors, with the time after which to retry. */
+final class LocalReplies {
+    /** Range of the random retry delay of rejected callers: spreads them so that they don't all retry at once. */
+    private static final long MIN_RETRY_AFTER_MILLIS = 200;
 
-    private static final long LONGEST_RETURN_MILLIS = 700;
+    private static final long MAX_RETRY_AFTER_MILLIS = 700;
 
-    /** The part of a caller's time that it is asked to wait at most. */
-    private static final double RETURN_SHARE = 0.3;
+    /** The largest share of a caller's remaining time that it is asked to wait. */
+    private static final double RETRY_AFTER_SHARE = 0.3;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
     private final RequestDialect dialect;
     private final RandomGenerator random;
 
-    OwnAnswers(RequestDialect dialect, RandomGenerator random) {
+    LocalReplies(RequestDialect dialect, RandomGenerator random) {
         this.dialect = dialect;
         this.random = random;
     }
 
     /**
-     * Returns the answer to a request that failed.
+     * Returns the response to a failed request.
      *
-     * @param requestId the request's id; empty if it has none
-     * @param leftMillis the time that its caller still has; 0 if unknown
+     * @param requestId the request ID; empty if it has none
+     * @param remainingMillis the time until the caller's deadline; 0 if unknown
      */
-    DefaultFullHttpResponse error(ErrorKind error, String requestId, long leftMillis) {
+    DefaultFullHttpResponse error(ErrorKind error, String requestId, long remainingMillis) {
         DefaultFullHttpResponse response = error(error, requestId);
         ErrorKind.RetryAdvice advice = error.retryAdvice();
         if (advice == ErrorKind.RetryAdvice.LATER || advice == ErrorKind.RetryAdvice.AT_ONCE) {
-            response.headers().set(HttpHeaderNames.RETRY_AFTER, returnAfter(leftMillis));
+            response.headers().set(HttpHeaderNames.RETRY_AFTER, retryAfter(remainingMillis));
         }
         return response;
     }
 
-    /** Returns the answer to a request that won't be served for so long, in ms, whenever its caller comes back. */
-    DefaultFullHttpResponse errorFor(ErrorKind error, String requestId, long millis) {
+    /** Returns an error that asks the caller to retry after {@code millis}, regardless of its deadline. */
+    DefaultFullHttpResponse errorWithRetryAfter(ErrorKind error, String requestId, long millis) {
         DefaultFullHttpResponse response = error(error, requestId);
         response.headers().set(HttpHeaderNames.RETRY_AFTER, seconds(millis));
         return response;
@@ -65,9 +65,9 @@
         return response;
     }
 
-    private String returnAfter(long leftMillis) {
-        double drawn = SHORTEST_RETURN_MILLIS + random.nextDouble() * (LONGEST_RETURN_MILLIS - SHORTEST_RETURN_MILLIS);
-        double millis = leftMillis > 0 ? Math.min(drawn, leftMillis * RETURN_SHARE) : drawn;
+    private String retryAfter(long remainingMillis) {
+        double drawn = MIN_RETRY_AFTER_MILLIS + random.nextDouble() * (MAX_RETRY_AFTER_MILLIS - MIN_RETRY_AFTER_MILLIS);
+        double millis = remainingMillis > 0 ? Math.min(drawn, remainingMillis * RETRY_AFTER_SHARE) : drawn;
         return seconds(millis);
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineCheck.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineCheck.java
@@ -8,9 +8,9 @@
 import org.rattanrudder.core.quarantine.RequestFingerprint;
 
 /**
- * What is held against one request.
+ * Checks one request against the quarantine.
  *
- * <p>Its fingerprint is worked out only when it is answered, or while something is held against any request.
+ * <p>The fingerprint is computed only when the request fails or is answered, or while the quarantine has any record.
  */
 final class QuarantineCheck {
     private final RelayState state;
@@ -19,7 +19,7 @@
     private final ByteBuf body;
     private RequestFingerprint fingerprint;
 
-    /** Makes the check of a request, whose body isn't taken over. */
+    /** Creates a check; doesn't take ownership of the body. */
     QuarantineCheck(RelayState state, RequestPlan plan, String path, ByteBuf body) {
         this.state = state;
         this.plan = plan;
@@ -27,7 +27,7 @@
         this.body = body;
     }
 
-    /** Returns what is the same whenever the request comes. */
+    /** Returns the fingerprint, which is the same each time the request is sent. */
     RequestFingerprint fingerprint() {
         if (fingerprint == null) {
             fingerprint = plan.fingerprint(path, body);
@@ -35,8 +35,8 @@
         return fingerprint;
     }
 
-    /** Returns for how much longer the request is sent to no target, in ms; empty if it may be sent. */
-    OptionalLong leftMillis() {
+    /** Returns the remaining quarantine time in ms; empty if the request may be sent. */
+    OptionalLong remainingMillis() {
         Quarantine quarantine = state.quarantine();
         return quarantine.isEmpty()
                 ? OptionalLong.empty()
@@ -44,23 +44,23 @@
     }
 
     /**
-     * Returns whether the attempt that has just failed may have ended the last target that the request may end. Whether
-     * the target is gone isn't known yet.
+     * Returns whether the attempt that has just failed may have caused the last crash before quarantine. At this point
+     * it isn't known yet whether the target crashed.
      */
-    boolean mayHaveBeenLast(AttemptOutcome outcome) {
+    boolean mayHaveCausedLastCrash(AttemptOutcome outcome) {
         Quarantine quarantine = state.quarantine();
         return outcome == AttemptOutcome.BROKEN
                 && !quarantine.isEmpty()
                 && quarantine.isOneCrashFromQuarantine(fingerprint());
     }
 
-    /** Notes that the connection to a target broke in the middle of an attempt. */
-    void broken(Target target) {
-        state.crashDetector().broken(target, fingerprint());
+    /** Records that the connection to a target broke in the middle of an attempt. */
+    void onConnectionBroken(Target target) {
+        state.crashDetector().onConnectionBroken(target, fingerprint());
     }
 
-    /** Notes that a target has answered. */
-    void answered() {
+    /** Records that a target completed the request. */
+    void onAnswered() {
         state.quarantine().onAnswered(fingerprint(), state.nowMillis());
     }
 }
--- /dev/null
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QueueWait.java
@@ -0,0 +1,55 @@
+package org.rattanrudder.daemon.relay;
+
+import io.netty.util.concurrent.ScheduledFuture;
+import java.util.concurrent.TimeUnit;
+import org.rattanrudder.core.fleet.HoldingQueue;
+
+/** Queues a request until an engine has room: first as on time, then as late, until it expires. */
+final class QueueWait {
+    private final RelayState state;
+    private final RequestPlan plan;
+    private final Exchange exchange;
+    private final ExchangeLog log;
+    private HoldingQueue.QueuedRequest<Exchange> queued;
+    private ScheduledFuture<?> expiry;
+
+    QueueWait(RelayState state, RequestPlan plan, Exchange exchange, ExchangeLog log) {
+        this.state = state;
+        this.plan = plan;
+        this.exchange = exchange;
+        this.log = log;
+    }
+
+    /**
+     * Adds the request to the queue.
+     *
+     * @param hasFailedAttempt whether a target has failed the request: the time lost there doesn't count against its
+     *     late wait
+     */
+    void join(boolean hasFailedAttempt) {
+        HoldingQueue<Exchange> queue = state.holdingQueue(plan.service());
+        long now = state.nowMillis();
+        long onTimeUntil = Math.max(now, plan.onTimeUntil());
+        long lateUntil = hasFailedAttempt ? now + plan.route().objectiveMillis() : Math.max(now, plan.lateUntil());
+        queued = queue.add(exchange, plan.priority(), plan.tokens(), onTimeUntil, lateUntil, plan.deadlineAt());
+        long millis = Math.max(1, onTimeUntil - now);
+        expiry = state.loop().schedule(() -> onLate(lateUntil), millis, TimeUnit.MILLISECONDS);
+        log.queued(queue.size(), millis, state.fleet().activeTargets(plan.service(), now), now);
+    }
+
+    /** Handles the point from which the request can't be on time; it may stay queued behind those that can. */
+    private void onLate(long lateUntil) {
+        long millis = Math.max(1, lateUntil - state.nowMillis());
+        expiry = state.loop().schedule(() -> state.expireQueue(plan.service()), millis, TimeUnit.MILLISECONDS);
+        state.expireQueue(plan.service());
+    }
+
+    /** Removes the request from the queue if it is queued. */
+    void leave() {
+        if (queued != null) {
+            state.holdingQueue(plan.service()).remove(queued);
+            expiry.cancel(false);
+            queued = null;
+        }
+    }
+}
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayChannels.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayChannels.java
@@ -19,38 +19,42 @@
 import jdk.net.ExtendedSocketOptions;
 import org.rattanrudder.core.model.Address;
 
-/** Opens a relay's channels, all with short probes, since a peer that vanished shows by nothing else. */
+/**
+ * Opens the channels of a relay, all with short TCP keep-alive intervals, since nothing else detects a vanished peer.
+ */
 final class RelayChannels {
     private static final int BACKLOG = 1_024;
 
-    /** A peer that vanished is noticed by probes on an idle connection after about three seconds. */
-    private static final int PROBE_IDLE_SECONDS = 1;
+    /** Keep-alive probes on an idle connection detect a vanished peer after about three seconds. */
+    private static final int KEEPALIVE_IDLE_SECONDS = 1;
 
-    private static final int PROBE_EVERY_SECONDS = 1;
-    private static final int PROBES = 2;
+    private static final int KEEPALIVE_INTERVAL_SECONDS = 1;
+    private static final int KEEPALIVE_PROBES = 2;
 
-    /** How much larger a head may be than the limit says before the decoder gives up; exact counts differ a little. */
-    private static final int HEAD_SLACK = 2;
+    /**
+     * Factor by which the decoder's limit on the head exceeds the configured one; their byte counts differ slightly.
+     */
+    private static final int HEADER_LIMIT_FACTOR = 2;
 
     private RelayChannels() {}
 
-    /** Returns what opens connections to others. */
+    /** Returns the bootstrap for outbound connections. */
     static Bootstrap connector(EventLoopGroup group) {
         return new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.SO_KEEPALIVE, true)
-                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), PROBE_IDLE_SECONDS)
-                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), PROBE_EVERY_SECONDS)
-                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, TargetPools.CONNECT_MILLIS);
+                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEPALIVE_IDLE_SECONDS)
+                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), KEEPALIVE_INTERVAL_SECONDS)
+                .option(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), KEEPALIVE_PROBES)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, TargetPools.CONNECT_TIMEOUT_MILLIS);
     }
 
     /**
-     * Listens.
+     * Binds and listens on an address.
      *
-     * @throws IOException if the address can't be had
+     * @throws IOException if the address can't be bound
      */
     static Channel listen(EventLoopGroup group, Address address, ChannelInitializer<Channel> channels)
             throws IOException {
@@ -62,16 +66,17 @@
                         .option(ChannelOption.SO_REUSEADDR, true)
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         .childOption(ChannelOption.SO_KEEPALIVE, true)
-                        .childOption(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), PROBE_IDLE_SECONDS)
-                        .childOption(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), PROBE_EVERY_SECONDS)
-                        .childOption(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), PROBES)
+                        .childOption(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE), KEEPALIVE_IDLE_SECONDS)
+                        .childOption(
+                                NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL), KEEPALIVE_INTERVAL_SECONDS)
+                        .childOption(NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT), KEEPALIVE_PROBES)
                         .childHandler(channels)
                         .bind(new InetSocketAddress(address.host(), address.port())),
                 address);
     }
 
     /**
-     * Waits until a channel listens.
+     * Waits until a channel is bound.
      *
      * @throws IOException if the wait was interrupted
      */
@@ -84,7 +89,7 @@
         }
     }
 
-    /** Returns the channels of callers. */
+    /** Returns the initializer of channels for callers. */
     static ChannelInitializer<Channel> callers(RelayState state, TargetPools pools, Set<CallerConnection> open) {
         return new ChannelInitializer<>() {
             @Override
@@ -92,25 +97,25 @@
                 CallerConnection connection = new CallerConnection(state, pools, open);
                 channel.pipeline()
                         .addLast(
-                                new RawBytes(connection),
-                                new StrictRequestDecoder(state.limits().maxHeaderBytes() * HEAD_SLACK),
+                                new ReadRecorder(connection),
+                                new StrictRequestDecoder(state.limits().maxHeaderBytes() * HEADER_LIMIT_FACTOR),
                                 new HttpResponseEncoder(),
                                 connection);
             }
         };
     }
 
-    /** Tells a connection of bytes before they are decoded. */
-    private static final class RawBytes extends ChannelInboundHandlerAdapter {
+    /** Notifies a connection of bytes before they are decoded. */
+    private static final class ReadRecorder extends ChannelInboundHandlerAdapter {
         private final CallerConnection connection;
 
-        RawBytes(CallerConnection connection) {
+        ReadRecorder(CallerConnection connection) {
             this.connection = connection;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
-            connection.bytesRead();
+            connection.onBytesRead();
             context.fireChannelRead(message);
         }
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -21,30 +21,30 @@
 import org.rattanrudder.core.routing.Hashing;
 import org.rattanrudder.daemon.relay.port.ForwardingMetadata;
 
-/** What holds for a request from its admission to its end, and what it needs of a target. */
+/** The parameters of one request that stay fixed until it ends, and the metadata sent to its target. */
 final class RequestPlan {
-    /** What the way from the caller has already cost of its deadline, in ms. */
-    private static final long WAY_MILLIS = 2;
+    /** Part of the deadline already spent on the network between caller and relay. */
+    private static final long CALLER_NETWORK_MILLIS = 2;
 
     /**
-     * How long before the bound on old weights they are given up, in ms: the naming took a while to be read, and a
-     * request may wait in the engine's queue before it begins.
+     * Stops using replaced weights this long before their staleness bound: the relay reads a new version with a delay,
+     * and a request may wait in the engine's queue before it starts.
      */
-    private static final long OLD_WEIGHTS_MARGIN_MILLIS = 2_000;
+    private static final long STALE_WEIGHTS_MARGIN_MILLIS = 2_000;
 
-    /** The rank at an engine of a request that can be on time, and of one that can't. */
-    private static final int ON_TIME_RANK = 4;
+    /** Engine priorities of requests that can still be on time and of those that can't. */
+    private static final int ON_TIME_PRIORITY = 4;
 
-    private static final int LATE_RANK = 7;
+    private static final int LATE_PRIORITY = 7;
 
-    /** Time to the first byte that a healthy target needs beside reading the prompt, in ms. */
+    /** Time to the first byte that a healthy target needs in addition to prefill. */
     private static final double ENGINE_BASE_MILLIS = 80;
 
-    private static final double TOKENS_PER_MILLI = 100;
-    private static final double PLAIN_BASE_MILLIS = 150;
+    private static final double PREFILL_TOKENS_PER_MILLI = 100;
+    private static final double PLAIN_FIRST_BYTE_MILLIS = 150;
 
     private final RelayState state;
-    private final RequestMetadata facts;
+    private final RequestMetadata metadata;
     private final ServiceRoute route;
     private final Optional<CustomerIdentity> customer;
     private final String service;
@@ -54,43 +54,46 @@
     private final long deadlineAt;
     private final long contextHash;
 
-    RequestPlan(RelayState state, RequestMetadata facts, AccessDecision.Granted granted, long arrivedAt) {
+    RequestPlan(RelayState state, RequestMetadata metadata, AccessDecision.Granted granted, long arrivedAt) {
         this.state = state;
-        this.facts = facts;
+        this.metadata = metadata;
         this.arrivedAt = arrivedAt;
         route = granted.route();
         customer = granted.customer();
-        service = route.serviceFor(facts.id());
+        service = route.serviceFor(metadata.id());
         backend = state.configuration()
                 .flatMap(configuration ->
                         Optional.ofNullable(configuration.services().get(service)));
         engine = backend.flatMap(BackendService::engine);
-        long wanted = facts.deadlineMillis().orElse(route.timeoutMillis());
-        deadlineAt = arrivedAt + Math.min(wanted - WAY_MILLIS, route.timeoutMillis());
-        int lastShared = facts.parts().size() - 2;
+        long wanted = metadata.deadlineMillis().orElse(route.timeoutMillis());
+        deadlineAt = arrivedAt + Math.min(wanted - CALLER_NETWORK_MILLIS, route.timeoutMillis());
+        int lastShared = metadata.parts().size() - 2;
         contextHash =
-                lastShared < 0 ? 0 : Hashing.of(facts.parts().get(lastShared).id());
+                lastShared < 0 ? 0 : Hashing.of(metadata.parts().get(lastShared).id());
     }
 
     /**
      * A request as it is sent to a target.
      *
-     * @param forwarding what the target is told beside it
-     * @param work the work that it is there
+     * @param forwarding the metadata sent with it
+     * @param cost its expected cost at the target
      */
-    record Outgoing(ForwardingMetadata forwarding, Target.RequestCost work) {
-        /** Returns how long a healthy engine needs to the first byte if its fetches take no time, in ms. */
+    record Outgoing(ForwardingMetadata forwarding, Target.RequestCost cost) {
+        /**
+         * Returns the expected time to the first byte at a healthy engine, in ms, if fetching cached parts takes no
+         * time.
+         */
         double millisWithoutFetch() {
-            return ENGINE_BASE_MILLIS + work.prefillTokens() / TOKENS_PER_MILLI;
+            return ENGINE_BASE_MILLIS + cost.prefillTokens() / PREFILL_TOKENS_PER_MILLI;
         }
     }
 
     String id() {
-        return facts.id();
+        return metadata.id();
     }
 
-    RequestMetadata facts() {
-        return facts;
+    RequestMetadata metadata() {
+        return metadata;
     }
 
     ServiceRoute route() {
@@ -113,55 +116,57 @@
         return deadlineAt;
     }
 
-    long left() {
+    long remainingMillis() {
         return deadlineAt - state.nowMillis();
     }
 
-    /** Returns what is the same whenever the request comes. */
+    /** Returns the fingerprint, which is the same each time the request is sent. */
     RequestFingerprint fingerprint(String path, ByteBuf body) {
         String name = customer.map(CustomerIdentity::name).orElse("");
-        return RequestFingerprint.of(facts.host(), path, name, body.nioBuffer());
+        return RequestFingerprint.of(metadata.host(), path, name, body.nioBuffer());
     }
 
-    /** Returns the memory that it takes over its run, in tokens: its prompt, and half of its output on average. */
+    /** Returns the average memory use over the run, in tokens: the prompt and half of the output. */
     int tokens() {
-        return facts.promptTokens() + facts.maxOutputTokens() / 2;
+        return metadata.promptTokens() + metadata.maxOutputTokens() / 2;
     }
 
-    /** Returns the work that it is for a target as far as is known before it is sent. */
-    Target.RequestCost expectedWork() {
-        return new Target.RequestCost(tokens(), facts.promptTokens());
+    /** Returns the expected cost at a target, as far as it is known before the request is sent. */
+    Target.RequestCost expectedCost() {
+        return new Target.RequestCost(tokens(), metadata.promptTokens());
     }
 
-    /** Returns its rank: the customer's priority goes before the route's. */
-    int rank() {
+    /** Returns the priority; that of the customer takes precedence over that of the route. */
+    int priority() {
         OptionalInt own = customer.map(CustomerIdentity::priority).orElse(OptionalInt.empty());
         return own.orElse(route.priority());
     }
 
-    /** Returns until when it must be sent to be on time. */
+    /** Returns the time by which the request must be sent to be on time. */
     long onTimeUntil() {
         return arrivedAt + (long) (route.objectiveMillis() * HoldingQueue.ON_TIME_WAIT_RATIO);
     }
 
-    /** Returns until when it waits in line once it can't be on time. */
+    /** Returns the time until which the request stays queued once it can't be on time. */
     long lateUntil() {
         return arrivedAt + (long) (route.objectiveMillis() * HoldingQueue.LATE_WAIT_RATIO);
     }
 
-    /** Returns how long a healthy target needs to the first byte, in ms. */
-    double expectedFirstMillis() {
-        return engine.isPresent() ? ENGINE_BASE_MILLIS + facts.promptTokens() / TOKENS_PER_MILLI : PLAIN_BASE_MILLIS;
+    /** Returns the expected time to the first byte at a healthy target, in ms. */
+    double expectedFirstByteMillis() {
+        return engine.isPresent()
+                ? ENGINE_BASE_MILLIS + metadata.promptTokens() / PREFILL_TOKENS_PER_MILLI
+                : PLAIN_FIRST_BYTE_MILLIS;
     }
 
     PlacementQuery query(Set<String> tried, long now) {
-        long allowed = state.settings().bounds().weightsMillis() - OLD_WEIGHTS_MARGIN_MILLIS;
-        Optional<String> model = facts.model();
+        long allowed = state.settings().bounds().weightsMillis() - STALE_WEIGHTS_MARGIN_MILLIS;
+        Optional<String> model = metadata.model();
         return new PlacementQuery(
                 service,
                 state.settings().failureDomain(),
                 engine,
-                facts.model(),
+                metadata.model(),
                 model.map(state.weights()::newest).orElse(0L),
                 model.map(name -> state.weights().oldestAllowed(name, allowed, now))
                         .orElse(0L),
@@ -179,48 +184,53 @@
     }
 
     Outgoing outgoing(Target target, Optional<String> lastEventId) {
-        Optional<Long> weights = facts.model().map(target::weights).filter(version -> version > 0);
+        Optional<Long> weights = metadata.model().map(target::weights).filter(version -> version > 0);
         Optional<String> salt = weights.map(version -> PartKey.salt(version, customer));
         PartPlan parts = salt.isPresent() && engine.isPresent()
                 ? state.directory()
                         .plan(
                                 salt.get(),
-                                facts.parts(),
+                                metadata.parts(),
                                 target.registration().failureDomain(),
                                 weights.get()
-                                        >= state.weights().newest(facts.model().get()),
+                                        >= state.weights()
+                                                .newest(metadata.model().get()),
                                 route.objectiveMillis(),
                                 state.nowMillis())
                 : PartPlan.NONE;
         if (engine.isPresent()) {
-            noteParts(target, salt, parts);
+            recordParts(target, salt, parts);
         }
         ForwardingMetadata forwarding = new ForwardingMetadata(
-                Math.max(1, left()),
+                Math.max(1, remainingMillis()),
                 target.id(),
                 customer.map(CustomerIdentity::name),
                 weights.map(OptionalLong::of).orElse(OptionalLong.empty()),
-                salt.or(this::saltOfItsOwn),
+                salt.or(this::uniqueSalt),
                 parts,
-                lastEventId.or(facts::lastEventId),
-                engineRank());
+                lastEventId.or(metadata::lastEventId),
+                enginePriority());
         return new Outgoing(
-                forwarding, new Target.RequestCost(tokens(), Math.max(0, facts.promptTokens() - readTokens(parts))));
+                forwarding,
+                new Target.RequestCost(tokens(), Math.max(0, metadata.promptTokens() - cachedTokens(parts))));
     }
 
-    /** Weights that aren't known can't be told apart: nothing of this request may be found by another one. */
-    private Optional<String> saltOfItsOwn() {
-        return engine.isPresent() ? Optional.of("request-" + facts.id()) : Optional.empty();
+    /**
+     * Returns a salt that no other request uses: without a known weights version, parts of different versions can't be
+     * told apart and must not be shared.
+     */
+    private Optional<String> uniqueSalt() {
+        return engine.isPresent() ? Optional.of("request-" + metadata.id()) : Optional.empty();
     }
 
-    private OptionalInt engineRank() {
+    private OptionalInt enginePriority() {
         if (engine.isEmpty()) {
             return OptionalInt.empty();
         }
-        return OptionalInt.of(state.nowMillis() <= onTimeUntil() ? ON_TIME_RANK : LATE_RANK);
+        return OptionalInt.of(state.nowMillis() <= onTimeUntil() ? ON_TIME_PRIORITY : LATE_PRIORITY);
     }
 
-    private void noteParts(Target target, Optional<String> salt, PartPlan parts) {
+    private void recordParts(Target target, Optional<String> salt, PartPlan parts) {
         int read = count(parts.sources());
         int saved = count(parts.destinations());
         state.metrics().recordParts("read", read);
@@ -229,22 +239,22 @@
                 .info(
                         "request_sent",
                         "request",
-                        facts.id(),
+                        metadata.id(),
                         "target",
                         target.id(),
                         "salt",
                         salt.orElse("own"),
                         "shared_parts",
-                        Integer.toString(Math.max(0, facts.parts().size() - 1)),
+                        Integer.toString(Math.max(0, metadata.parts().size() - 1)),
                         "read",
                         Integer.toString(read),
                         "saved",
                         Integer.toString(saved),
                         "parts",
-                        PartsText.of(facts.parts(), parts.choices()));
+                        PartChoiceFormat.format(metadata.parts(), parts.choices()));
     }
 
-    private static int readTokens(PartPlan parts) {
+    private static int cachedTokens(PartPlan parts) {
         return parts.sources().stream()
                 .mapToInt(source -> source.map(PartPlan.Source::tokens).orElse(0))
                 .sum();
--- /dev/null
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ResponseForwarder.java
@@ -0,0 +1,141 @@
+package org.rattanrudder.daemon.relay;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufUtil;
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpResponse;
+import java.util.Optional;
+import org.rattanrudder.core.gateway.RepeatRule;
+import org.rattanrudder.daemon.relay.port.RequestDialect;
+
+/**
+ * Forwards a target's response to the caller.
+ *
+ * <p>The response of a plain service is buffered until it is complete, so that a response from another target can
+ * replace it if the connection breaks. Stream events are forwarded as they arrive; where another target may resume the
+ * stream, only complete events are forwarded.
+ */
+final class ResponseForwarder {
+    /** A plain response up to this size is buffered until it is complete. */
+    private static final int MAX_BUFFERED_BYTES = 256 * 1024;
+
+    private static final int INITIAL_BUFFER_BYTES = 1_024;
+
+    private final CallerConnection caller;
+    private final RequestDialect dialect;
+    private final Runnable onFirstByte;
+    private final boolean stream;
+    private final Optional<EventFramer> framer;
+    private HttpResponse head;
+    private ByteBuf buffered;
+    private boolean begun;
+
+    /** Creates a forwarder; {@code onFirstByte} runs before the first byte is written to the caller. */
+    ResponseForwarder(CallerConnection caller, RequestDialect dialect, RepeatRule repeat, Runnable whenBegun) {
+        this.caller = caller;
+        this.dialect = dialect;
+        this.onFirstByte = whenBegun;
+        stream = repeat.stream();
+        framer = stream && repeat.repeatable() ? Optional.of(new EventFramer()) : Optional.empty();
+    }
+
+    /** Returns whether anything was written to the caller. */
+    boolean hasBegun() {
+        return begun;
+    }
+
+    /** Returns whether another target can resume the response after what the caller has received. */
+    boolean isResumable() {
+        return framer.isPresent();
+    }
+
+    /** Returns the ID of the last event that was forwarded to the caller. */
+    Optional<String> lastEventId() {
+        return framer.flatMap(EventFramer::lastId);
+    }
+
+    /** Returns the status of the response; 0 if there is none yet. */
+    int status() {
+        return head == null ? 0 : head.status().code();
+    }
+
+    /** Accepts the response head; a stream that is resumed at another target keeps its first head. */
+    void head(HttpResponse response) {
+        if (!begun) {
+            head = response;
+        }
+    }
+
+    /** Accepts a chunk of the body; the caller of this method keeps ownership of the buffer. */
+    void content(ByteBuf chunk) {
+        if (!stream) {
+            buffer(chunk);
+            return;
+        }
+        byte[] ready = framer.isPresent() ? framer.get().append(chunk) : ByteBufUtil.getBytes(chunk);
+        if (ready.length > 0) {
+            begin();
+            caller.write(Unpooled.wrappedBuffer(ready));
+        }
+    }
+
+    private void buffer(ByteBuf chunk) {
+        if (begun) {
+            caller.write(chunk.retain());
+            return;
+        }
+        if (buffered == null) {
+            buffered = Unpooled.buffer(Math.max(INITIAL_BUFFER_BYTES, chunk.readableBytes()));
+        }
+        buffered.writeBytes(chunk);
+        if (buffered.readableBytes() > MAX_BUFFERED_BYTES) {
+            begin();
+            caller.write(buffered);
+            buffered = null;
+        }
+    }
+
+    private void begin() {
+        if (begun) {
+            return;
+        }
+        begun = true;
+        onFirstByte.run();
+        caller.begin(head, headers());
+    }
+
+    private HttpHeaders headers() {
+        return dialect.forCaller(head.headers());
+    }
+
+    /** Completes the response. */
+    void complete() {
+        if (framer.isPresent() && framer.get().isWithinEvent()) {
+            byte[] rest = framer.get().takeRest();
+            begin();
+            caller.write(Unpooled.wrappedBuffer(rest));
+        }
+        if (begun || stream) {
+            begin();
+            caller.finish();
+            return;
+        }
+        begun = true;
+        onFirstByte.run();
+        caller.answer(head, headers(), buffered);
+        buffered = null;
+    }
+
+    /** Discards the buffered part of a response that won't be completed. */
+    void discard() {
+        if (buffered != null) {
+            buffered.release();
+            buffered = null;
+        }
+        if (!begun) {
+            head = null;
+        }
+        framer.ifPresent(EventFramer::takeRest);
+    }
+}
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/AnswerWriter.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ResponseWriter.java
@@ -21,45 +21,45 @@
 import org.rattanrudder.core.model.ErrorKind;
 
 /**
- * Writes the answers on one caller's connection.
+ * Writes responses to one caller's connection.
  *
- * <p>What begins an answer returns whether the connection may be used for another request after it.
+ * <p>Methods that start a response return whether the connection can be reused for another request.
  */
-final class AnswerWriter {
+final class ResponseWriter {
     private final RelayState state;
-    private final OwnAnswers ownAnswers;
+    private final LocalReplies localReplies;
     private final ChannelHandlerContext context;
     private boolean chunked;
 
-    AnswerWriter(RelayState state, ChannelHandlerContext context) {
+    ResponseWriter(RelayState state, ChannelHandlerContext context) {
         this.state = state;
         this.context = context;
-        ownAnswers = new OwnAnswers(state.platform().requests(), state.random());
+        localReplies = new LocalReplies(state.platform().requests(), state.random());
     }
 
     /**
-     * Answers with an error of our own.
+     * Writes a local error reply.
      *
-     * @param head the request's head; null if there is none
-     * @param leftMillis the time that its caller still has; 0 if unknown
+     * @param head the head of the request; null if there is none
+     * @param remainingMillis the time until the caller's deadline; 0 if unknown
      */
-    boolean error(HttpRequest head, ErrorKind error, String requestId, long leftMillis) {
-        return own(head, ownAnswers.error(error, requestId, leftMillis));
+    boolean error(HttpRequest head, ErrorKind error, String requestId, long remainingMillis) {
+        return writeLocalReply(head, localReplies.error(error, requestId, remainingMillis));
     }
 
-    /** Answers with an error of our own that holds for so long, in ms, whenever the caller comes back. */
-    boolean errorFor(HttpRequest head, ErrorKind error, String requestId, long millis) {
-        return own(head, ownAnswers.errorFor(error, requestId, millis));
+    /** Writes a local error reply that asks the caller to retry after the given time, regardless of its deadline. */
+    boolean errorWithRetryAfter(HttpRequest head, ErrorKind error, String requestId, long millis) {
+        return writeLocalReply(head, localReplies.errorWithRetryAfter(error, requestId, millis));
     }
 
-    private boolean own(HttpRequest head, DefaultFullHttpResponse response) {
-        boolean keep = persist(head, response);
+    private boolean writeLocalReply(HttpRequest head, DefaultFullHttpResponse response) {
+        boolean keep = setKeepAlive(head, response);
         context.writeAndFlush(response);
         return keep;
     }
 
-    /** Answers with a target's answer that is whole. */
-    boolean whole(HttpRequest head, HttpResponse from, HttpHeaders headers, ByteBuf content) {
+    /** Writes a target's complete response. */
+    boolean full(HttpRequest head, HttpResponse from, HttpHeaders headers, ByteBuf content) {
         ByteBuf body = content == null ? Unpooled.EMPTY_BUFFER : content;
         DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, from.status(), body);
         response.headers().set(headers);
@@ -69,7 +69,7 @@
         } else if (mayHaveBody(from)) {
             HttpUtil.setContentLength(response, body.readableBytes());
         }
-        boolean keep = persist(head, response);
+        boolean keep = setKeepAlive(head, response);
         context.writeAndFlush(response);
         return keep;
     }
@@ -79,7 +79,7 @@
         return status != HttpResponseStatus.NO_CONTENT.code() && status != HttpResponseStatus.NOT_MODIFIED.code();
     }
 
-    /** Begins an answer that comes in pieces. */
+    /** Writes the head of a response that is sent in chunks. */
     boolean begin(HttpRequest head, HttpResponse from, HttpHeaders headers) {
         DefaultHttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, from.status());
         response.headers().set(headers);
@@ -87,25 +87,28 @@
         if (chunked) {
             HttpUtil.setTransferEncodingChunked(response, true);
         } else {
-            // An older caller learns the end of the answer from the end of the connection.
+            // An HTTP/1.0 response without a length ends when the connection is closed.
             HttpUtil.setKeepAlive(head, false);
         }
-        boolean keep = persist(head, response);
+        boolean keep = setKeepAlive(head, response);
         context.write(response);
         return keep;
     }
 
-    /** Passes on a piece, which is taken over. */
-    void piece(ByteBuf piece) {
-        context.writeAndFlush(new DefaultHttpContent(piece));
+    /** Writes a chunk of the body and takes ownership of it. */
+    void content(ByteBuf chunk) {
+        context.writeAndFlush(new DefaultHttpContent(chunk));
     }
 
-    /** Ends an answer that came in pieces. */
+    /** Ends a response that was sent in chunks. */
     void end() {
         context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    /** Ends the connection in the middle of an answer; without chunks only a reset shows that it isn't complete. */
+    /**
+     * Closes the connection in the middle of a response; without chunked encoding only a reset shows that the response
+     * is incomplete.
+     */
     void abort() {
         if (!chunked && context.channel() instanceof SocketChannel socket) {
             socket.config().setSoLinger(0);
@@ -113,7 +116,7 @@
         context.close();
     }
 
-    private boolean persist(HttpRequest head, HttpResponse response) {
+    private boolean setKeepAlive(HttpRequest head, HttpResponse response) {
         boolean keep = head != null
                 && HttpUtil.isKeepAlive(head)
                 && !state.isDraining()
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StrictRequestDecoder.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StrictRequestDecoder.java
@@ -5,10 +5,10 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Refuses a request that gives its body both a length and chunks.
+ * Rejects a request that has both Content-Length and chunked Transfer-Encoding.
  *
- * <p>Two readers could disagree on where such a request ends, and one of them would take the rest of its body for a
- * request of its own.
+ * <p>Two parsers could disagree on where such a request ends, and one of them would read the rest of its body as
+ * another request (request smuggling).
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
     private static final int CHUNK_BYTES = 64 * 1024;
@@ -22,6 +22,6 @@
 
     @Override
     protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-        throw new IllegalArgumentException("a body with both a length and chunks");
+        throw new IllegalArgumentException("both Content-Length and chunked Transfer-Encoding");
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
@@ -2,23 +2,23 @@
 
 import org.rattanrudder.core.fleet.Target;
 
-/** One try of a request at one target; owned by its exchange. */
+/** One attempt to run a request at one target; owned by its exchange. */
 final class TargetAttempt {
     private final Target target;
     private final TargetConnection connection;
     private final RequestPlan.Outgoing outgoing;
     private final long sentAt;
-    private long lastPieceAt;
+    private long lastContentAt;
     private long firstPieceMillis = -1;
-    private long longestPauseMillis;
+    private long maxPauseMillis;
 
     TargetAttempt(Target target, TargetConnection connection, RequestPlan.Outgoing outgoing, long sentAt) {
         this.target = target;
         this.connection = connection;
         this.outgoing = outgoing;
         this.sentAt = sentAt;
-        lastPieceAt = sentAt;
-        target.onSent(outgoing.work(), sentAt);
+        lastContentAt = sentAt;
+        target.onSent(outgoing.cost(), sentAt);
     }
 
     Target target() {
@@ -29,8 +29,8 @@
         return connection;
     }
 
-    Target.RequestCost work() {
-        return outgoing.work();
+    Target.RequestCost cost() {
+        return outgoing.cost();
     }
 
     RequestPlan.Outgoing outgoing() {
@@ -41,40 +41,40 @@
         return sentAt;
     }
 
-    long lastPieceAt() {
-        return lastPieceAt;
+    long lastContentAt() {
+        return lastContentAt;
     }
 
-    /** Returns how long the first byte took, in ms; -1 before it. */
+    /** Returns the time to the first byte in ms; -1 before it. */
     long firstPieceMillis() {
         return firstPieceMillis;
     }
 
-    /** Returns the longest time between two pieces, in ms. */
-    long longestPauseMillis() {
-        return longestPauseMillis;
+    /** Returns the longest time between two chunks, in ms. */
+    long maxPauseMillis() {
+        return maxPauseMillis;
     }
 
     boolean hasBegun() {
         return firstPieceMillis >= 0;
     }
 
-    /** Notes a piece of the answer; returns whether it was the first. */
-    boolean piece(long nowMillis) {
-        long pause = nowMillis - lastPieceAt;
-        lastPieceAt = nowMillis;
+    /** Records a chunk of the response; returns whether it was the first. */
+    boolean onContent(long nowMillis) {
+        long pause = nowMillis - lastContentAt;
+        lastContentAt = nowMillis;
         target.onBytesReceived(nowMillis);
         if (hasBegun()) {
-            longestPauseMillis = Math.max(longestPauseMillis, pause);
+            maxPauseMillis = Math.max(maxPauseMillis, pause);
             return false;
         }
         firstPieceMillis = nowMillis - sentAt;
-        target.onFirstByte(work());
+        target.onFirstByte(cost());
         return true;
     }
 
-    /** The attempt is over, in whatever way. */
+    /** Ends the attempt, whether it succeeded or not. */
     void end() {
-        target.onEnded(work(), hasBegun());
+        target.onEnded(cost(), hasBegun());
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetConnection.java
@@ -21,43 +21,43 @@
 import org.rattanrudder.daemon.relay.port.ResponseMetadata;
 
 /**
- * A connection to a target, for one request at a time.
+ * A connection to a target that carries one request at a time.
  *
- * <p>It trusts nothing that it reads. A second answer to an earlier request may arrive where the next answer is due: an
- * answer with another request's id is skipped. Bytes that come while no request is under way end the connection. A body
- * without a length ends with its connection, but only if that was closed and not reset. An answer may come before its
- * request was sent in full: the connection isn't used again then, since the target might take the next request for the
- * rest of this one.
+ * <p>Nothing that it reads is trusted. A second response to an earlier request may arrive where the next response is
+ * due: a response with the ID of another request is skipped. Bytes that arrive while no request is in flight close the
+ * connection. A body without a length ends with its connection, but only if that was closed and not reset. A response
+ * may arrive before its request was sent in full: the connection isn't reused then, since the target might read the
+ * next request as the rest of this one.
  */
 final class TargetConnection extends ChannelInboundHandlerAdapter {
     private final Channel channel;
     private final RequestDialect dialect;
-    private final Consumer<TargetConnection> whenFree;
-    private AnswerSink sink;
+    private final Consumer<TargetConnection> onIdle;
+    private ResponseSink sink;
     private String requestId = "";
     private boolean headRequest;
     private boolean requestWritten;
-    private boolean answering;
+    private boolean inResponse;
     private boolean skipping;
     private boolean interim;
-    private boolean keep;
-    private boolean unframed;
+    private boolean keepAlive;
+    private boolean closeDelimited;
     private boolean reset;
-    private boolean free;
+    private boolean complete;
     private long keepAliveMillis = -1;
     private long idleSince;
 
     TargetConnection(Channel channel, RequestDialect dialect, Consumer<TargetConnection> whenFree) {
         this.channel = channel;
         this.dialect = dialect;
-        this.whenFree = whenFree;
+        this.onIdle = whenFree;
     }
 
     boolean isActive() {
         return channel.isActive();
     }
 
-    /** Returns how long the target said that it keeps an idle connection, in ms; -1 if it didn't say. */
+    /** Returns the keep-alive timeout that the target announced, in ms; -1 if it announced none. */
     long keepAliveMillis() {
         return keepAliveMillis;
     }
@@ -66,25 +66,25 @@
         return idleSince;
     }
 
-    void idle(long nowMillis) {
+    void markIdle(long nowMillis) {
         idleSince = nowMillis;
     }
 
-    /** Returns whether the answer to the request of the given method has no body whatever its head says. */
-    boolean answersHead() {
+    /** Returns whether the current request is a HEAD request, whose response has no body whatever its headers say. */
+    boolean isHeadRequest() {
         return headRequest;
     }
 
-    /** Sends a request. The body is taken over. */
-    void send(HttpRequest request, ByteBuf body, String id, AnswerSink answers) {
+    /** Sends a request and takes ownership of the body. */
+    void send(HttpRequest request, ByteBuf body, String id, ResponseSink answers) {
         sink = answers;
         requestId = id;
         headRequest = request.method().equals(HttpMethod.HEAD);
         requestWritten = false;
-        answering = false;
+        inResponse = false;
         skipping = false;
-        keep = false;
-        free = false;
+        keepAlive = false;
+        complete = false;
         DefaultHttpRequest head =
                 new DefaultHttpRequest(request.protocolVersion(), request.method(), request.uri(), request.headers());
         channel.write(head);
@@ -97,32 +97,32 @@
         });
     }
 
-    /** Ends the connection: the target drops a request whose connection is closed. */
+    /** Closes the connection; the target drops a request whose connection is closed. */
     void abort() {
         sink = null;
         channel.close();
     }
 
-    /** Stops listening, but reads the rest of the answer so that the connection can be used again. */
+    /** Discards the rest of the response but reads it, so that the connection can be reused. */
     void detach() {
-        sink = Ignored.INSTANCE;
+        sink = DiscardingSink.INSTANCE;
     }
 
-    /** Reads on, or lets the target wait while the caller is slow. */
-    void reading(boolean on) {
+    /** Pauses reading while the caller is slow, or resumes it. */
+    void setReading(boolean on) {
         channel.config().setAutoRead(on);
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
-            if (sink == null || free) {
+            if (sink == null || complete) {
                 channel.close();
                 return;
             }
             HttpObject object = (HttpObject) message;
             if (object.decoderResult().isFailure()) {
-                fail("malformed answer");
+                fail("malformed response");
                 return;
             }
             if (object instanceof HttpResponse response) {
@@ -141,23 +141,24 @@
             interim = true;
             return;
         }
-        ResponseMetadata facts = dialect.read(response);
-        boolean other = facts.requestId().isPresent()
-                ? !requestId.isEmpty() && !facts.requestId().get().equals(requestId)
-                : !facts.notRun();
+        ResponseMetadata metadata = dialect.read(response);
+        boolean other = metadata.requestId().isPresent()
+                ? !requestId.isEmpty() && !metadata.requestId().get().equals(requestId)
+                : !metadata.notRun();
         if (other) {
-            // Without an id it may be an answer to anything; only a plain refusal comes without one.
+            // Without an ID it may be a response to any request; only a response for a request that wasn't run may lack
+            // it.
             skipping = true;
-            if (facts.requestId().isEmpty()) {
-                fail("answer without a request id");
+            if (metadata.requestId().isEmpty()) {
+                fail("response without a request ID");
             }
             return;
         }
-        answering = true;
-        keep = HttpUtil.isKeepAlive(response);
-        unframed = !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
-        facts.keepAliveMillis().ifPresent(millis -> keepAliveMillis = millis);
-        sink.head(response, facts);
+        inResponse = true;
+        keepAlive = HttpUtil.isKeepAlive(response);
+        closeDelimited = !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response);
+        metadata.keepAliveMillis().ifPresent(millis -> keepAliveMillis = millis);
+        sink.onHead(response, metadata);
     }
 
     private void content(HttpContent content) {
@@ -167,14 +168,14 @@
             skipping = skipping && !last;
             return;
         }
-        if (sink == null || !answering) {
+        if (sink == null || !inResponse) {
             return;
         }
         if (content.content().isReadable()) {
-            sink.content(content.content());
+            sink.onContent(content.content());
         }
         if (last && sink != null) {
-            if (unframed && reset) {
+            if (closeDelimited && reset) {
                 fail("reset");
                 return;
             }
@@ -183,33 +184,33 @@
     }
 
     private void finish() {
-        AnswerSink done = sink;
-        answering = false;
-        // Freed only when all bytes that came with the answer were read: extra ones end the connection.
-        free = true;
-        done.complete();
+        ResponseSink done = sink;
+        inResponse = false;
+        // Reused only once all bytes that arrived with the response were read: extra ones close the connection.
+        complete = true;
+        done.onComplete();
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        if (!free || !channel.isActive()) {
+        if (!complete || !channel.isActive()) {
             return;
         }
-        if (!keep || unframed || !requestWritten) {
+        if (!keepAlive || closeDelimited || !requestWritten) {
             channel.close();
             return;
         }
-        free = false;
+        complete = false;
         sink = null;
-        whenFree.accept(this);
+        onIdle.accept(this);
     }
 
     private void fail(String reason) {
-        AnswerSink failed = sink;
+        ResponseSink failed = sink;
         sink = null;
         channel.close();
-        if (failed != null && !free) {
-            failed.broken(reason);
+        if (failed != null && !complete) {
+            failed.onBroken(reason);
         }
     }
 
@@ -220,25 +221,25 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // Comes before the close that it causes; a body without a length must not count as whole then.
+        // Called before channelInactive; a body without a length must not count as complete after a reset.
         reset = true;
         fail("reset");
     }
 
-    /** Takes what nobody waits for any more. */
-    private enum Ignored implements AnswerSink {
+    /** Discards a response that is no longer needed. */
+    private enum DiscardingSink implements ResponseSink {
         INSTANCE;
 
         @Override
-        public void head(HttpResponse response, ResponseMetadata facts) {}
+        public void onHead(HttpResponse response, ResponseMetadata metadata) {}
 
         @Override
-        public void content(ByteBuf piece) {}
+        public void onContent(ByteBuf chunk) {}
 
         @Override
-        public void complete() {}
+        public void onComplete() {}
 
         @Override
-        public void broken(String reason) {}
+        public void onBroken(String reason) {}
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetPools.java
@@ -25,82 +25,85 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.daemon.relay.port.RequestDialect;
 
-/** Keeps connections to targets, by incarnation, and opens new ones. */
+/** Pools connections to targets, by incarnation, and opens new ones. */
 final class TargetPools {
     /**
-     * How long a connection may take to open, in ms. A request waits for it only as long as {@link DialTimeout} says;
-     * one that opens later is kept for the next request.
+     * Timeout for opening a connection. A request waits for it only as long as {@link DialTimeout} allows; a connection
+     * that opens later is kept for the next request.
      */
-    static final int CONNECT_MILLIS = (int) DialTimeout.MAX_MILLIS;
+    static final int CONNECT_TIMEOUT_MILLIS = (int) DialTimeout.MAX_MILLIS;
 
-    /** How long an idle connection is used again if its target doesn't say how long it keeps it, in ms. */
-    private static final long IDLE_MILLIS = 1_500;
+    /** How long an idle connection is reused if its target announces no keep-alive timeout. */
+    private static final long DEFAULT_IDLE_TIMEOUT_MILLIS = 1_500;
 
-    /** The part of the time that a target names: it counts from its side, and its clock may be ahead. */
-    private static final double IDLE_SHARE = 0.5;
+    /**
+     * Share of the announced keep-alive timeout: it starts at the target's side, and the target's clock may be ahead.
+     */
+    private static final double KEEP_ALIVE_SHARE = 0.5;
 
     /**
-     * Requests that can't be repeated use a connection only this long after its last use, in ms: a close that crosses
-     * with the request leaves its outcome unknown. Targets name 10 s; at 0.5 s four in ten requests opened a new one.
+     * Requests that can't be repeated reuse a connection only this long after its last use: if the target closes it
+     * while the request is on its way, the outcome is unknown. Targets announce 10 s; at 0.5 s four in ten requests
+     * opened a new connection.
      */
-    private static final long IDLE_ONCE_MILLIS = 3_000;
+    private static final long NOT_REPEATABLE_IDLE_MILLIS = 3_000;
 
     private final Bootstrap connector;
     private final EventLoop loop;
     private final RequestDialect dialect;
     private final LongSupplier clock;
-    private final ReachabilityListener reached;
-    private final DialTimeout patience = new DialTimeout();
-    /** By the target, not its id: one that has started again has none of the connections of before. */
+    private final ReachabilityListener reachability;
+    private final DialTimeout dialTimeout = new DialTimeout();
+    /** Keyed by the target, not by its ID: a restarted target has none of its previous connections. */
     private final Map<Target, Pool> pools = new HashMap<>();
 
-    /** Told of what dials without a request found. */
+    /** Receives the results of dials without a request. */
     interface ReachabilityListener {
-        /** Returns whether a target still matters. */
+        /** Returns whether a target is still in use. */
         boolean isKnown(Target target);
 
-        /** A target that couldn't be reached can be reached again. */
+        /** Called when an unreachable target can be reached again. */
         void onReachable(Target target);
     }
 
     /**
-     * Makes empty pools.
+     * Creates empty pools.
      *
-     * @param loop times the dials
-     * @param clock milliseconds of a steady clock
+     * @param loop schedules dial timeouts and redials
+     * @param clock a monotonic clock in milliseconds
      */
     TargetPools(
             Bootstrap connector,
             EventLoop loop,
             RequestDialect dialect,
             LongSupplier clock,
-            ReachabilityListener reached) {
+            ReachabilityListener reachability) {
         this.connector = connector;
         this.loop = loop;
         this.dialect = dialect;
         this.clock = clock;
-        this.reached = reached;
+        this.reachability = reachability;
     }
 
     /** The connections to one target. */
     private static final class Pool {
         private final Deque<TargetConnection> idle = new ArrayDeque<>();
-        private boolean willDial;
+        private boolean redialScheduled;
     }
 
-    /** A request that waits for a connection, until it has one or waits no more. */
-    private static final class Claim {
+    /** A request that waits for a connection until it gets one or times out. */
+    private static final class PendingAcquire {
         private Consumer<TargetConnection> then;
 
-        Claim(Consumer<TargetConnection> then) {
+        PendingAcquire(Consumer<TargetConnection> then) {
             this.then = then;
         }
 
-        boolean isOpen() {
+        boolean isPending() {
             return then != null;
         }
 
-        void settle(TargetConnection connection) {
+        void complete(TargetConnection connection) {
             Consumer<TargetConnection> waiting = then;
             then = null;
             waiting.accept(connection);
@@ -108,123 +111,126 @@
     }
 
     /**
-     * Gets a connection: an idle one at once, or a new one later.
+     * Acquires a connection: an idle one at once, or a new one later.
      *
      * @param repeatable whether the request may be repeated if the connection turns out to be closed
-     * @param then called once: with a connection, or with null if none could be had
+     * @param then called once: with a connection, or with null if none could be opened
      */
     void acquire(Target target, boolean repeatable, Consumer<TargetConnection> then) {
         long nowMillis = clock.getAsLong();
         Pool pool = pools.computeIfAbsent(target, unseen -> new Pool());
         while (!pool.idle.isEmpty()) {
             TargetConnection connection = pool.idle.pollLast();
-            if (connection.isActive() && isYoung(connection, repeatable, nowMillis)) {
+            if (connection.isActive() && isReusable(connection, repeatable, nowMillis)) {
                 then.accept(connection);
                 return;
             }
             connection.abort();
         }
-        Claim claim = new Claim(then);
-        dial(target, pool, claim, found -> {});
-        InactivityTimer.start(loop, () -> giveUp(target, claim), patience.millis());
+        PendingAcquire pending = new PendingAcquire(then);
+        dial(target, pool, pending, found -> {});
+        InactivityTimer.start(loop, () -> onDialTimeout(target, pending), dialTimeout.millis());
     }
 
-    /** Dials a target without a request, to see whether it is there; what opens is kept for the next request. */
+    /** Dials a target without a request to check that it is reachable; the connection is kept for the next request. */
     void verify(Target target) {
         if (target.isProbeUseful(clock.getAsLong())) {
-            dialAlone(target);
+            dialInBackground(target);
         }
     }
 
-    /** Dials a target without a request, however lately it was dialled, and tells what was found. */
-    void probe(Target target, Consumer<Dial> then) {
-        dial(target, pools.computeIfAbsent(target, unseen -> new Pool()), new Claim(null), then);
+    /** Dials a target without a request, however recently it was dialed, and passes on the result. */
+    void probe(Target target, Consumer<DialResult> then) {
+        dial(target, pools.computeIfAbsent(target, unseen -> new Pool()), new PendingAcquire(null), then);
     }
 
-    private void dialAlone(Target target) {
+    private void dialInBackground(Target target) {
         probe(target, found -> {});
     }
 
-    private static void giveUp(Target target, Claim claim) {
-        if (claim.isOpen()) {
+    private static void onDialTimeout(Target target, PendingAcquire pending) {
+        if (pending.isPending()) {
             target.onDialOverdue();
-            claim.settle(null);
+            pending.complete(null);
         }
     }
 
-    private static boolean isYoung(TargetConnection connection, boolean repeatable, long nowMillis) {
-        long kept = connection.keepAliveMillis() < 0 ? IDLE_MILLIS : (long) (connection.keepAliveMillis() * IDLE_SHARE);
-        long limit = repeatable ? kept : Math.min(kept, IDLE_ONCE_MILLIS);
+    private static boolean isReusable(TargetConnection connection, boolean repeatable, long nowMillis) {
+        long kept = connection.keepAliveMillis() < 0
+                ? DEFAULT_IDLE_TIMEOUT_MILLIS
+                : (long) (connection.keepAliveMillis() * KEEP_ALIVE_SHARE);
+        long limit = repeatable ? kept : Math.min(kept, NOT_REPEATABLE_IDLE_MILLIS);
         return nowMillis - connection.idleSince() < limit;
     }
 
-    private void dial(Target target, Pool pool, Claim claim, Consumer<Dial> then) {
+    private void dial(Target target, Pool pool, PendingAcquire pending, Consumer<DialResult> then) {
         Address address = target.registration().address();
         long began = clock.getAsLong();
         target.onDialStarted(began);
-        TargetConnection[] made = new TargetConnection[1];
+        TargetConnection[] created = new TargetConnection[1];
         connector
                 .clone()
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        made[0] = new TargetConnection(channel, dialect, connection -> keep(pool, connection));
-                        channel.pipeline().addLast(new AnswerDecoder(made[0]), new HttpRequestEncoder(), made[0]);
+                        created[0] = new TargetConnection(channel, dialect, connection -> addIdle(pool, connection));
+                        channel.pipeline()
+                                .addLast(new ResponseDecoder(created[0]), new HttpRequestEncoder(), created[0]);
                     }
                 })
                 .connect(new InetSocketAddress(address.host(), address.port()))
                 .addListener((ChannelFuture opened) -> {
                     if (opened.isSuccess()) {
-                        patience.recordOpened(clock.getAsLong() - began);
-                        opened(target, pool, claim, made[0]);
+                        dialTimeout.recordOpened(clock.getAsLong() - began);
+                        onOpened(target, pool, pending, created[0]);
                     } else {
-                        notOpened(target, pool, claim);
+                        onOpenFailed(target, pool, pending);
                     }
-                    then.accept(Dial.of(opened));
+                    then.accept(DialResult.of(opened));
                 });
     }
 
-    private void opened(Target target, Pool pool, Claim claim, TargetConnection connection) {
-        boolean wasLost = target.isUnreachable();
+    private void onOpened(Target target, Pool pool, PendingAcquire pending, TargetConnection connection) {
+        boolean wasUnreachable = target.isUnreachable();
         target.onDialFinished(true, clock.getAsLong());
-        if (claim.isOpen()) {
-            claim.settle(connection);
+        if (pending.isPending()) {
+            pending.complete(connection);
         } else {
-            keep(pool, connection);
+            addIdle(pool, connection);
         }
-        if (wasLost) {
-            reached.onReachable(target);
+        if (wasUnreachable) {
+            reachability.onReachable(target);
         }
     }
 
-    private void notOpened(Target target, Pool pool, Claim claim) {
+    private void onOpenFailed(Target target, Pool pool, PendingAcquire pending) {
         target.onDialFinished(false, clock.getAsLong());
-        if (!pool.willDial) {
-            pool.willDial = true;
-            loop.schedule(() -> dialAgain(target, pool), target.redialDelayMillis(), TimeUnit.MILLISECONDS);
+        if (!pool.redialScheduled) {
+            pool.redialScheduled = true;
+            loop.schedule(() -> redial(target, pool), target.redialDelayMillis(), TimeUnit.MILLISECONDS);
         }
-        if (claim.isOpen()) {
-            claim.settle(null);
+        if (pending.isPending()) {
+            pending.complete(null);
         }
     }
 
-    private void dialAgain(Target target, Pool pool) {
-        pool.willDial = false;
-        if (target.isRedialDue() && reached.isKnown(target)) {
-            dialAlone(target);
+    private void redial(Target target, Pool pool) {
+        pool.redialScheduled = false;
+        if (target.isRedialDue() && reachability.isKnown(target)) {
+            dialInBackground(target);
         }
     }
 
-    private void keep(Pool pool, TargetConnection connection) {
-        connection.idle(clock.getAsLong());
+    private void addIdle(Pool pool, TargetConnection connection) {
+        connection.markIdle(clock.getAsLong());
         pool.idle.addLast(connection);
     }
 
-    /** Closes the connections of targets that aren't known any more, and those that were idle too long. */
+    /** Closes the connections of removed targets and those that were idle for too long. */
     void sweep(Set<Target> known, long nowMillis) {
         for (Iterator<Map.Entry<Target, Pool>> entries = pools.entrySet().iterator(); entries.hasNext(); ) {
             Map.Entry<Target, Pool> entry = entries.next();
-            entry.getValue().idle.removeIf(connection -> dropIfOld(connection, nowMillis));
+            entry.getValue().idle.removeIf(connection -> closeIfExpired(connection, nowMillis));
             if (!known.contains(entry.getKey())) {
                 entry.getValue().idle.forEach(TargetConnection::abort);
                 entries.remove();
@@ -232,25 +238,25 @@
         }
     }
 
-    private static boolean dropIfOld(TargetConnection connection, long nowMillis) {
-        boolean old = !connection.isActive() || !isYoung(connection, true, nowMillis);
+    private static boolean closeIfExpired(TargetConnection connection, long nowMillis) {
+        boolean old = !connection.isActive() || !isReusable(connection, true, nowMillis);
         if (old) {
             connection.abort();
         }
         return old;
     }
 
-    /** Decodes answers; one to a HEAD request has no body whatever its head says. */
-    private static final class AnswerDecoder extends HttpResponseDecoder {
+    /** Decodes responses; one to a HEAD request has no body whatever its headers say. */
+    private static final class ResponseDecoder extends HttpResponseDecoder {
         private final TargetConnection connection;
 
-        AnswerDecoder(TargetConnection connection) {
+        ResponseDecoder(TargetConnection connection) {
             this.connection = connection;
         }
 
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
-            boolean ofHead = connection.answersHead()
+            boolean ofHead = connection.isHeadRequest()
                     && message instanceof HttpResponse response
                     && response.status().code() >= HttpResponseStatus.OK.code();
             return ofHead || super.isContentAlwaysEmpty(message);
--- /dev/null
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/CrashDetectorTest.java
@@ -0,0 +1,95 @@
+package org.rattanrudder.daemon.relay;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.netty.channel.embedded.EmbeddedChannel;
+import java.net.ConnectException;
+import java.net.SocketException;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.rattanrudder.core.quarantine.RequestFingerprint;
+
+/** A crashed target looked alive while its process was still closing its sockets. */
+class CrashDetectorTest {
+    private static final RequestFingerprint REQUEST = new RequestFingerprint(1, 2);
+    private static final long NOW = 1_000;
+
+    private final EmbeddedChannel channel = new EmbeddedChannel();
+    private final Deque<DialResult> dials = new ArrayDeque<>();
+    private final List<Set<RequestFingerprint>> crashes = new ArrayList<>();
+    private final CrashDetector detector = new CrashDetector(channel.eventLoop());
+
+    @BeforeEach
+    void listen() {
+        channel.freezeTime();
+        detector.use((target, then) -> then.accept(dials.remove()), (target, requests) -> crashes.add(requests));
+    }
+
+    @Test
+    void refusedDialMeansCrash() {
+        dials.add(failed(new ConnectException("Connection refused")));
+
+        assertThat(crashesAfterBrokenConnection()).containsExactly(Set.of(REQUEST));
+    }
+
+    @Test
+    void dialResetWhileOpeningIsRepeated() {
+        dials.add(failed(new SocketException("Connection reset by peer")));
+        dials.add(failed(new ConnectException("Connection refused")));
+
+        assertThat(crashesAfterBrokenConnection()).containsExactly(Set.of(REQUEST));
+    }
+
+    @Test
+    void dialIsRepeatedIfConnectionIsClosedSoon() {
+        dials.add(closed());
+        dials.add(failed(new ConnectException("Connection refused")));
+
+        assertThat(crashesAfterBrokenConnection()).containsExactly(Set.of(REQUEST));
+    }
+
+    @Test
+    void connectionThatStaysOpenMeansAlive() {
+        dials.add(DialResult.of(new EmbeddedChannel().newSucceededFuture()));
+
+        assertThat(crashesAfterBrokenConnection()).isEmpty();
+    }
+
+    @Test
+    void targetThatResetsEveryDialIsAlive() {
+        for (int dial = 0; dial < CrashDetector.MAX_DIALS; dial++) {
+            dials.add(failed(new SocketException("Connection reset by peer")));
+        }
+
+        assertThat(crashesAfterBrokenConnection()).isEmpty();
+        assertThat(dials).isEmpty();
+    }
+
+    private List<Set<RequestFingerprint>> crashesAfterBrokenConnection() {
+        detector.onConnectionBroken(KnownTargets.target("i-1", Map.of(), NOW), REQUEST);
+        for (int step = 0; step < CrashDetector.MAX_DIALS + 1; step++) {
+            channel.advanceTimeBy(CrashDetector.MIN_OPEN_MILLIS, TimeUnit.MILLISECONDS);
+            channel.runScheduledPendingTasks();
+        }
+        return crashes;
+    }
+
+    private static DialResult failed(Exception failure) {
+        EmbeddedChannel dialled = new EmbeddedChannel();
+        dialled.close();
+        return DialResult.of(dialled.newFailedFuture(failure));
+    }
+
+    private static DialResult closed() {
+        EmbeddedChannel dialled = new EmbeddedChannel();
+        dialled.close();
+        return DialResult.of(dialled.newSucceededFuture());
+    }
+}
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/DialTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/DialResultTest.java
@@ -13,22 +13,23 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-class DialTest {
+class DialResultTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
 
     @ParameterizedTest
     @MethodSource("failures")
-    void aDialThatFailedSaysWhatIsThere(Exception failure, Dial.Result found) {
-        assertThat(Dial.of(channel.newFailedFuture(failure)).result()).isEqualTo(found);
+    void failureIsMappedToOutcome(Exception failure, DialResult.Outcome found) {
+        assertThat(DialResult.of(channel.newFailedFuture(failure)).outcome()).isEqualTo(found);
     }
 
     static Stream<Arguments> failures() {
         return Stream.of(
-                Arguments.of(new ConnectException("Connection refused"), Dial.Result.REFUSED),
-                Arguments.of(new ConnectTimeoutException("timed out"), Dial.Result.UNANSWERED),
-                Arguments.of(new NoRouteToHostException("No route to host"), Dial.Result.UNANSWERED),
-                Arguments.of(new SocketException("Connection reset by peer"), Dial.Result.BROKEN),
-                Arguments.of(new BindException("no local port"), Dial.Result.BROKEN),
-                Arguments.of(new IllegalStateException("executor not accepting a task"), Dial.Result.UNANSWERED));
+                Arguments.of(new ConnectException("Connection refused"), DialResult.Outcome.REFUSED),
+                Arguments.of(new ConnectTimeoutException("timed out"), DialResult.Outcome.UNANSWERED),
+                Arguments.of(new NoRouteToHostException("No route to host"), DialResult.Outcome.UNANSWERED),
+                Arguments.of(new SocketException("Connection reset by peer"), DialResult.Outcome.BROKEN),
+                Arguments.of(new BindException("no local port"), DialResult.Outcome.BROKEN),
+                Arguments.of(
+                        new IllegalStateException("executor not accepting a task"), DialResult.Outcome.UNANSWERED));
     }
 }
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/EventTailTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/EventFramerTest.java
@@ -14,26 +14,27 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class EventTailTest {
+class EventFramerTest {
     private static final List<String> EVENTS =
             List.of("id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n", "id: 3\ndata: cc\n\n");
     private static final String STREAM = String.join("", EVENTS);
 
     /**
-     * An engine dies in the middle of an event; a half that was passed on would come again, whole, from another one.
+     * An engine crashes in the middle of an event. If the partial event were forwarded, the engine that resumes the
+     * stream would send it again, complete.
      */
     @Property
-    void onlyWholeEventsGetThroughHoweverTheStreamIsCut(
+    void onlyCompleteEventsAreForwardedHoweverTheStreamIsSplit(
             @ForAll @Size(max = 12) List<@IntRange(max = 44) Integer> cuts, @ForAll @IntRange(max = 44) int end) {
-        EventTail tail = new EventTail();
+        EventFramer framer = new EventFramer();
         StringBuilder passed = new StringBuilder();
         int from = 0;
         for (int cut : cuts.stream().sorted().filter(cut -> cut < end).collect(Collectors.toList())) {
-            passed.append(take(tail, STREAM.substring(from, Math.min(cut, STREAM.length()))));
+            passed.append(take(framer, STREAM.substring(from, Math.min(cut, STREAM.length()))));
             from = Math.min(cut, STREAM.length());
         }
         int last = Math.min(end, STREAM.length());
-        passed.append(take(tail, STREAM.substring(Math.min(from, last), last)));
+        passed.append(take(framer, STREAM.substring(Math.min(from, last), last)));
 
         int whole = 0;
         int length = 0;
@@ -41,22 +42,22 @@
             length += EVENTS.get(whole++).length();
         }
         assertThat(passed.toString()).isEqualTo(STREAM.substring(0, length));
-        assertThat(tail.lastId().map(Integer::parseInt).orElse(0)).isEqualTo(whole);
-        assertThat(tail.isWithinEvent()).isEqualTo(last > length);
+        assertThat(framer.lastId().map(Integer::parseInt).orElse(0)).isEqualTo(whole);
+        assertThat(framer.isWithinEvent()).isEqualTo(last > length);
     }
 
     @ParameterizedTest
     @CsvSource({"'id: 7\\r\\ndata: x\\r\\n\\r\\n', 7", "'data: x\\n\\n', ", "'id:8\\n\\n', 8"})
-    void theIdOfTheLastEventIsKnown(String stream, String expected) {
-        EventTail tail = new EventTail();
+    void lastIdIsThatOfTheLastCompleteEvent(String stream, String expected) {
+        EventFramer framer = new EventFramer();
 
-        take(tail, stream.replace("\\r", "\r").replace("\\n", "\n"));
+        take(framer, stream.replace("\\r", "\r").replace("\\n", "\n"));
 
-        assertThat(tail.lastId().orElse(null)).isEqualTo(expected);
+        assertThat(framer.lastId().orElse(null)).isEqualTo(expected);
     }
 
-    private static String take(EventTail tail, String piece) {
-        byte[] whole = tail.take(Unpooled.wrappedBuffer(piece.getBytes(StandardCharsets.ISO_8859_1)));
+    private static String take(EventFramer framer, String chunk) {
+        byte[] whole = framer.append(Unpooled.wrappedBuffer(chunk.getBytes(StandardCharsets.ISO_8859_1)));
         return new String(Arrays.copyOf(whole, whole.length), StandardCharsets.ISO_8859_1);
     }
 }
