--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallAnswer.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallResult.java
@@ -4,25 +4,25 @@
 import org.rattanrudder.daemon.relay.port.StoreDialect;
 import org.rattanrudder.daemon.relay.port.StoreResponse;
 
-/** What came of a call. */
-sealed interface CallAnswer {
+/** The result of a call. */
+sealed interface CallResult {
     /**
-     * An answer came, whole.
+     * A complete response was received.
      *
      * @param status the HTTP status
      * @param body the body
      */
-    record Answered(int status, byte[] body) implements CallAnswer {}
+    record Answered(int status, byte[] body) implements CallResult {}
 
     /**
-     * No answer came.
+     * No complete response was received.
      *
-     * @param reason why, as one word
+     * @param reason the cause as one word
      */
-    record Unanswered(String reason) implements CallAnswer {}
+    record Unanswered(String reason) implements CallResult {}
 
-    /** Returns what an append came to; one without an answer, or with one that can't be read, has failed. */
-    default StoreResponse ofAppend(StoreDialect store) {
+    /** Returns the result of an append; without a response, or with a malformed one, the append has failed. */
+    default StoreResponse toAppendResponse(StoreDialect store) {
         if (!(this instanceof Answered answered)) {
             return new StoreResponse.Failed(0, Optional.of(((Unanswered) this).reason()));
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/FetchLatenessRecorder.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/FetchLatenessRecorder.java
@@ -13,19 +13,19 @@
 import org.rattanrudder.core.parts.StoreLateness;
 
 /**
- * Gathers how late this relay's fetches from each store were, for the other relays: one of many fetches too rarely to
- * notice in time that a store's link has turned slow.
+ * Records how late this relay's fetches from each store were, for its load reports. With many relays, one alone fetches
+ * too rarely to detect in time that a store's link has become slow.
  */
 final class FetchLatenessRecorder {
-    /** Rounds that are kept: those that are told more rarely hear of the newest of them only. */
-    private static final int MOST_ROUNDS = 64;
+    /** Limit of retained rounds; peers with longer report intervals get only the newest of their rounds. */
+    private static final int MAX_ROUNDS = 64;
 
     private final Map<Address, StoreLateness> current = new LinkedHashMap<>();
     private final Deque<List<StoreLateness>> rounds = new ArrayDeque<>();
 
     /**
-     * Notes the first byte of an answer whose prompt may have been read from stores. Its lateness is laid to the store
-     * of the largest part: that one takes the longest, and the others come meanwhile.
+     * Records the first byte of an answer whose prompt may have been fetched from stores. Its lateness is attributed to
+     * the store of the largest part, which takes the longest to fetch; the other parts arrive in the meantime.
      */
     void recordFirstByte(TargetAttempt attempt, PartDirectory directory, long nowMillis) {
         double excess = attempt.firstPieceMillis() - attempt.outgoing().millisWithoutFetch();
@@ -39,17 +39,17 @@
                 });
     }
 
-    /** Begins a new round. */
+    /** Ends the current round and starts a new one. */
     void nextRound() {
         rounds.addFirst(List.copyOf(current.values()));
         current.clear();
-        if (rounds.size() > MOST_ROUNDS) {
+        if (rounds.size() > MAX_ROUNDS) {
             rounds.removeLast();
         }
     }
 
-    /** Returns what was gathered in the newest rounds that have ended, so many of them. */
-    List<StoreLateness> ofLast(int count) {
+    /** Returns the lateness by store, summed over this many of the newest finished rounds. */
+    List<StoreLateness> sumOfLast(int count) {
         Map<Address, StoreLateness> sums = new LinkedHashMap<>();
         rounds.stream()
                 .limit(count)
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayStop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/GracefulShutdown.java
@@ -7,12 +7,12 @@
 import org.rattanrudder.core.gateway.ShutdownPolicy;
 
 /**
- * The end of a relay that was asked to stop: it takes its readiness back, refuses what comes, and lets what runs end.
+ * Shuts a relay down gracefully: withdraws its readiness, then refuses new requests and lets running ones finish.
  *
- * <p>Owned by the event loop, but for {@link #await}.
+ * <p>Confined to the event loop, except for {@link #await}.
  */
-final class RelayStop {
-    private static final long STAY_STEP_MILLIS = 200;
+final class GracefulShutdown {
+    private static final long READINESS_CHECK_INTERVAL_MILLIS = 200;
 
     private final RelayState state;
     private final Set<CallerConnection> callers;
@@ -21,40 +21,40 @@
     private volatile boolean finishedInTime;
 
     /**
-     * Makes the end of a relay that runs.
+     * Creates the shutdown of a running relay.
      *
-     * @param callers its callers' connections
-     * @param sweep looks at all connections at once
+     * @param callers the connections of its callers
+     * @param sweep checks all connections immediately
      */
-    RelayStop(RelayState state, Set<CallerConnection> callers, Runnable sweep) {
+    GracefulShutdown(RelayState state, Set<CallerConnection> callers, Runnable sweep) {
         this.state = state;
         this.callers = callers;
         this.sweep = sweep;
     }
 
-    /** The process was asked to stop. */
-    void begin() {
-        state.stop();
-        leave();
+    /** Starts the shutdown. */
+    void start() {
+        state.startStopping();
+        withdrawReadiness();
     }
 
-    /** Takes readiness back, unless no other relay is ready and there is time to wait for one. */
-    private void leave() {
+    /** Withdraws readiness, unless no peer is ready and there is still time to wait for one. */
+    private void withdrawReadiness() {
         long waited = state.nowMillis() - state.stoppingSince();
         if (waited < ShutdownPolicy.readinessHoldMillis(graceMillis())
                 && !state.fleet().anyPeerReady(state.nowMillis())) {
-            state.loop().schedule(this::leave, STAY_STEP_MILLIS, TimeUnit.MILLISECONDS);
+            state.loop().schedule(this::withdrawReadiness, READINESS_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
-        state.drain();
+        state.startDraining();
         state.log().info("leaving", "after_ms", Long.toString(waited));
         state.loop().schedule(sweep, ShutdownPolicy.callerDrainMillis(graceMillis()) + 1, TimeUnit.MILLISECONDS);
         long untilEnd = graceMillis() - ShutdownPolicy.exitMarginMillis(graceMillis()) - waited;
         state.loop().schedule(sweep, untilEnd + 1, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends the process if nothing runs any more, or no time is left. */
-    void look(long now) {
+    /** Completes the shutdown if no request is running or no time is left. */
+    void checkFinished(long now) {
         if (!state.isDraining()) {
             return;
         }
@@ -64,13 +64,13 @@
         boolean late = since > graceMillis() - ShutdownPolicy.exitMarginMillis(graceMillis());
         if (quiet || late) {
             finishedInTime = !busy;
-            // A caller that is told nothing waits for its own time limit, and can't know whether to come back.
+            // Without an answer, a caller would wait for its own timeout and couldn't know whether to retry.
             List.copyOf(callers).forEach(CallerConnection::onShutdown);
             drained.countDown();
         }
     }
 
-    /** Waits for the end; returns whether all that ran had ended by then. */
+    /** Waits for the shutdown to complete; returns whether all requests had finished by then. */
     boolean await() throws InterruptedException {
         long graceMillis = state.settings().bounds().graceMillis();
         return drained.await(graceMillis, TimeUnit.MILLISECONDS) && finishedInTime;
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallLine.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/HttpCallClient.java
@@ -23,58 +23,59 @@
 import org.rattanrudder.daemon.relay.port.PlatformCall;
 
 /**
- * Calls an address, one call at a time, on a connection that is kept.
+ * An HTTP client for one address that makes one call at a time on a persistent connection.
  *
- * <p>A connection may fall silent for good without a reset, while new ones work. A call that isn't answered in time
- * therefore takes its connection with it, and the next call opens a new one.
+ * <p>A connection may become permanently unresponsive without a reset while new connections work. A call that times out
+ * therefore closes its connection, and the next call opens a new one.
  */
-final class CallLine implements AutoCloseable {
-    private static final int LARGEST_ANSWER = 64 * 1024 * 1024;
+final class HttpCallClient implements AutoCloseable {
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
     private final Bootstrap bootstrap;
     private final Supplier<Address> address;
     private Address connectedTo;
     private Channel channel;
-    private Consumer<CallAnswer> waiting;
+    private Consumer<CallResult> pendingCallback;
     private InactivityTimer timeout;
 
     /**
-     * Makes a line without a connection.
+     * Creates a client without a connection.
      *
-     * @param address whom to call; another address than before takes effect with the next call
+     * @param address supplies the address to call; a changed address takes effect with the next call
      */
-    CallLine(Bootstrap bootstrap, Supplier<Address> address) {
+    HttpCallClient(Bootstrap bootstrap, Supplier<Address> address) {
         this.address = address;
         this.bootstrap = bootstrap.clone().handler(new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel opened) {
-                initialise(opened.pipeline());
+                initializePipeline(opened.pipeline());
             }
         });
     }
 
-    private void initialise(ChannelPipeline pipeline) {
-        pipeline.addLast(new HttpClientCodec(), new HttpObjectAggregator(LARGEST_ANSWER), new Answers());
+    private void initializePipeline(ChannelPipeline pipeline) {
+        pipeline.addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES), new ResponseHandler());
     }
 
-    /** Returns whether a call is under way. */
+    /** Returns whether a call is in flight. */
     boolean isBusy() {
-        return waiting != null;
+        return pendingCallback != null;
     }
 
     /**
-     * Makes a call. Only one may be under way.
+     * Makes a call. Only one may be in flight.
      *
-     * @param timeoutMillis from now until the call is given up
-     * @param then called once, on the event loop
+     * @param timeoutMillis time after which the call fails with the reason {@code timeout}
+     * @param callback called once with the result, on the event loop; not called after {@link #close}
      */
-    void call(PlatformCall call, long timeoutMillis, Consumer<CallAnswer> then) {
-        waiting = then;
+    void call(PlatformCall call, long timeoutMillis, Consumer<CallResult> callback) {
+        pendingCallback = callback;
         EventLoop loop = (EventLoop) bootstrap.config().group().next();
-        timeout = InactivityTimer.start(loop, () -> end(new CallAnswer.Unanswered("timeout"), true), timeoutMillis);
+        timeout =
+                InactivityTimer.start(loop, () -> complete(new CallResult.Unanswered("timeout"), true), timeoutMillis);
         Address current = address.get();
         if (!current.equals(connectedTo)) {
-            drop();
+            closeConnection();
             connectedTo = current;
         }
         if (channel != null && channel.isActive()) {
@@ -84,11 +85,11 @@
         bootstrap
                 .connect(new InetSocketAddress(current.host(), current.port()))
                 .addListener((io.netty.channel.ChannelFuture opened) -> {
-                    if (waiting != then) {
-                        // The call was given up meanwhile; another one may be under way.
+                    if (pendingCallback != callback) {
+                        // The call has timed out or was cancelled; another one may be in flight.
                         opened.channel().close();
                     } else if (!opened.isSuccess()) {
-                        end(new CallAnswer.Unanswered("unreachable"), true);
+                        complete(new CallResult.Unanswered("unreachable"), true);
                     } else {
                         channel = opened.channel();
                         write(call);
@@ -108,51 +109,51 @@
         channel.writeAndFlush(request);
     }
 
-    private void end(CallAnswer answer, boolean dropConnection) {
-        Consumer<CallAnswer> then = waiting;
-        if (then == null) {
+    private void complete(CallResult answer, boolean dropConnection) {
+        Consumer<CallResult> callback = pendingCallback;
+        if (callback == null) {
             return;
         }
-        waiting = null;
+        pendingCallback = null;
         timeout.cancel();
         if (dropConnection) {
-            drop();
+            closeConnection();
         }
-        then.accept(answer);
+        callback.accept(answer);
     }
 
-    private void drop() {
+    private void closeConnection() {
         if (channel != null) {
             channel.close();
             channel = null;
         }
     }
 
-    /** Gives up the call under way, whose caller isn't told, and closes the connection. */
+    /** Cancels the call in flight without calling its callback, and closes the connection. */
     @Override
     public void close() {
-        waiting = null;
+        pendingCallback = null;
         if (timeout != null) {
             timeout.cancel();
         }
-        drop();
+        closeConnection();
     }
 
-    /** Takes answers off a connection. */
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** Handles the responses on a connection. */
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            if (context.channel() != channel || waiting == null) {
+            if (context.channel() != channel || pendingCallback == null) {
                 context.close();
                 return;
             }
             byte[] body = ByteBufUtil.getBytes(response.content());
             boolean whole = response.decoderResult().isSuccess();
             boolean keep = whole && HttpUtil.isKeepAlive(response);
-            end(
+            complete(
                     whole
-                            ? new CallAnswer.Answered(response.status().code(), body)
-                            : new CallAnswer.Unanswered("malformed"),
+                            ? new CallResult.Answered(response.status().code(), body)
+                            : new CallResult.Unanswered("malformed"),
                     !keep);
         }
 
@@ -160,13 +161,13 @@
         public void channelInactive(ChannelHandlerContext context) {
             if (context.channel() == channel) {
                 channel = null;
-                end(new CallAnswer.Unanswered("closed"), false);
+                complete(new CallResult.Unanswered("closed"), false);
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // The reason reaches the caller as "closed"; what matters is logged there.
+            // The caller gets the reason "closed" and logs the failure if needed.
             context.close();
         }
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OutdatedParts.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/OutdatedPartEvictor.java
@@ -7,35 +7,35 @@
 import org.rattanrudder.core.parts.PartKey;
 import org.rattanrudder.core.parts.PartRetirement;
 
-/** Frees parts of weights that no engine serves any more. */
-final class OutdatedParts {
-    private static final int FREED_AT_ONCE = 400;
+/** Evicts the parts of weights that no engine serves any more from context stores. */
+final class OutdatedPartEvictor {
+    private static final int MAX_BATCH_PARTS = 400;
 
     /**
-     * How often stores are looked at once parts of a version were freed, in ms: their news of it take some hundred, and
-     * a look goes through all that they hold.
+     * Minimum time between two scans for the same version: updates on evicted parts take some 100 ms to arrive, and a
+     * scan goes through all parts of all stores.
      */
-    private static final long AGAIN_MILLIS = 2_000;
+    private static final long RESCAN_MILLIS = 2_000;
 
     private final RelayState state;
     private final Map<Address, StoreWatch> stores;
     private final PartRetirement retirement = new PartRetirement();
-    private long freedBefore;
-    private long lookedAt;
+    private long lastEvictableBefore;
+    private long lastScanAt;
 
-    OutdatedParts(RelayState state, Map<Address, StoreWatch> stores) {
+    OutdatedPartEvictor(RelayState state, Map<Address, StoreWatch> stores) {
         this.state = state;
         this.stores = stores;
     }
 
-    /** Frees some, if it is time. */
+    /** Evicts a batch of outdated parts from each store, if a scan is due. */
     void free(long now) {
         retirement.updateOldestServed(oldestServed(now), now);
         long before = retirement.evictableBefore(now);
-        boolean due = before != freedBefore || now - lookedAt >= AGAIN_MILLIS;
+        boolean due = before != lastEvictableBefore || now - lastScanAt >= RESCAN_MILLIS;
         if (before > 0 && due) {
-            freedBefore = before;
-            lookedAt = now;
+            lastEvictableBefore = before;
+            lastScanAt = now;
             stores.forEach((address, watch) -> free(address, watch, before));
         }
     }
@@ -43,12 +43,12 @@
     private void free(Address address, StoreWatch watch, long before) {
         List<PartKey> parts = state.directory().outdatedParts(address, before);
         if (!parts.isEmpty()) {
-            List<PartKey> batch = parts.subList(0, Math.min(parts.size(), FREED_AT_ONCE));
+            List<PartKey> batch = parts.subList(0, Math.min(parts.size(), MAX_BATCH_PARTS));
             watch.free(batch, state.directory().incarnation(address));
         }
     }
 
-    /** Returns the oldest weights that an engine serves; 0 if it isn't known, or if several models are served. */
+    /** Returns the oldest version that an engine serves; 0 if it is unknown, or if there isn't exactly one model. */
     private long oldestServed(long now) {
         Optional<String> model = state.weights().onlyModel();
         if (model.isEmpty()) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -27,95 +27,99 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.parts.SharedStoreUpdate;
 import org.rattanrudder.core.parts.StoreLateness;
-import org.rattanrudder.daemon.relay.TopicFollower.Reading;
+import org.rattanrudder.daemon.relay.TopicFollower.InitialRead;
 import org.rattanrudder.daemon.relay.port.KeyedRecord;
 import org.rattanrudder.daemon.relay.port.RelayRegistration;
 import org.rattanrudder.daemon.relay.port.StoreDialect.Topic;
 import org.rattanrudder.wire.peer.PeerCodec;
 
 /**
- * Tells the other relays several times a second which work is under way at which target, and hears the same of them.
+ * Exchanges load reports with peers several times a second, as UDP datagrams.
  *
- * <p>Relays find each other in the platform's store, where each writes its address once. A lost datagram is made
- * good by the next; a relay that isn't heard of any more has no work.
+ * <p>Relays discover each other through the platform's store, where each registers its address once. A lost datagram is
+ * superseded by the next one. A peer whose reports cease is counted as having no requests in flight.
  */
 final class PeerExchange implements AutoCloseable {
-    /** How long new weights of a target are told: until the target's own entry says so, or some messages were lost. */
-    private static final long TOLD_MILLIS = 2_500;
+    /**
+     * How long a target's newly confirmed weights are reported: until its registration shows them, even if some
+     * messages are lost.
+     */
+    private static final long SERVED_WEIGHTS_MILLIS = 2_500;
 
-    private static final long REGISTER_AGAIN_MILLIS = 1_000;
+    private static final long REGISTER_RETRY_MILLIS = 1_000;
     private static final long REGISTER_TIMEOUT_MILLIS = 1_500;
 
     private final RelayState state;
     private final StepTimer timer;
-    private final String self;
-    private final OwnNews own;
+    private final String relayId;
+    private final LocalState localState;
     private final Listener listener;
     private final Channel channel;
     private final TopicFollower follower;
-    private final CallLine registering;
+    private final HttpCallClient registrationClient;
     private final ReportSchedule schedule = new ReportSchedule();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    private final Map<InetSocketAddress, Set<String>> names = new HashMap<>();
+    private final Map<InetSocketAddress, Set<String>> relaysByAddress = new HashMap<>();
     private long sequence;
 
-    /** What this relay knows at first hand and tells others. */
-    interface OwnNews {
-        /** Returns the engines that it has ordered to load weights and that don't serve them yet. */
-        List<String> loading();
+    /** Provides the parts of a load report that other components of this relay own. */
+    interface LocalState {
+        /** Returns the engines that this relay has ordered to load weights and that don't serve them yet. */
+        List<String> loadingTargets();
 
-        /** Returns whether it takes new connections. */
-        boolean ready();
+        /** Returns whether this relay accepts new connections. */
+        boolean acceptsConnections();
 
-        /** Returns how far it has read the platform's records. */
-        ReadOffsets readTo();
+        /** Returns the read offsets of the platform's topics. */
+        ReadOffsets readOffsets();
     }
 
-    /** What others say that concerns other parts of this relay. */
+    /** Handles the content of peers' messages that other components of this relay need. */
     interface Listener {
-        /** Another relay tells what a context store said. */
-        void news(SharedStoreUpdate news);
+        /** Handles a context store's update that a peer has received. */
+        void onStoreUpdate(SharedStoreUpdate update);
 
-        /** Another relay has read the platform's records so far. */
-        void readTo(ReadOffsets readTo);
+        /** Handles a peer's read offsets. */
+        void onReadOffsets(ReadOffsets offsets);
 
-        /** Another relay could open no connection to these targets. */
-        void unreachable(List<String> targets);
+        /** Handles the targets to which a peer could open no connection. */
+        void onUnreachable(List<String> targets);
     }
 
-    PeerExchange(RelayState state, Bootstrap datagrams, String self, OwnNews own, Listener listener)
+    PeerExchange(RelayState state, Bootstrap datagrams, String relayId, LocalState localState, Listener listener)
             throws IOException {
         this.state = state;
         timer = new StepTimer(state.loop());
-        this.self = self;
-        this.own = own;
+        this.relayId = relayId;
+        this.localState = localState;
         this.listener = listener;
         Address address = state.settings().peers();
         channel = RelayChannels.opened(
                 datagrams
                         .channel(NioDatagramChannel.class)
-                        .handler(new Messages())
+                        .handler(new MessageHandler())
                         .bind(new InetSocketAddress(address.host(), address.port())),
                 address);
-        follower = new TopicFollower(state, Topic.RELAYS, Pace.RARE_IN_GROUPS, Reading.NEWEST, new Registrations());
-        registering = new CallLine(state.connector(), state::store);
+        follower = new TopicFollower(
+                state, Topic.RELAYS, PollIntervals.RARE_BURSTS, InitialRead.NEWEST, new RegistrationListener());
+        registrationClient = new HttpCallClient(state.connector(), state::store);
     }
 
     void start() {
         follower.start();
-        state.placementBroadcaster().tellBy(this::tellAtOnce);
-        timer.later(this::tell, ReportSchedule.ROUND_MILLIS);
+        state.placementBroadcaster().setListener(this::sendPlacements);
+        timer.later(this::sendDueReports, ReportSchedule.ROUND_MILLIS);
     }
 
     private void register() {
-        registering.call(
+        registrationClient.call(
                 state.platform().store().register(state.settings().instance(), ownRegistration()),
                 REGISTER_TIMEOUT_MILLIS,
                 answer -> {
-                    state.metrics().storeCall("REGISTER");
-                    boolean done = answer instanceof CallAnswer.Answered answered && answered.status() == 200;
+                    state.metrics().recordStoreCall("REGISTER");
+                    boolean done = answer instanceof CallResult.Answered answered && answered.status() == 200;
                     if (!done) {
-                        timer.later(this::register, REGISTER_AGAIN_MILLIS);
+                        timer.later(this::register, REGISTER_RETRY_MILLIS);
                     } else {
                         state.log()
                                 .info(
@@ -126,26 +130,29 @@
                 });
     }
 
-    /** Takes the addresses of relays. */
-    private final class Registrations implements TopicFollower.Listener {
+    /** Handles the registrations of relays. */
+    private final class RegistrationListener implements TopicFollower.Listener {
         private boolean listedOnce;
         private boolean registered;
 
         @Override
-        public void record(KeyedRecord record) {
+        public void onRecord(KeyedRecord record) {
             Optional<RelayRegistration> relay =
                     record.value().map(state.platform().store()::readRelay);
             if (record.key().equals(state.settings().instance())) {
                 registered = relay.filter(ownRegistration()::equals).isPresent();
             } else {
-                forget(record.key());
-                relay.ifPresent(known -> know(record.key(), known));
+                removePeer(record.key());
+                relay.ifPresent(known -> addPeer(record.key(), known));
             }
         }
 
-        /** A relay that starts again where it was registered before writes nothing: all others would read it. */
+        /**
+         * Registers this relay unless its address is registered already, as after a restart: all peers would have to
+         * read the new record.
+         */
         @Override
-        public void listed(Set<String> relays, long end) {
+        public void onListed(Set<String> relays, long end) {
             if (!listedOnce && !registered) {
                 register();
             }
@@ -157,78 +164,82 @@
         return new RelayRegistration(state.settings().peers(), state.settings().failureDomain());
     }
 
-    private void know(String relay, RelayRegistration registered) {
+    private void addPeer(String relay, RelayRegistration registered) {
         Address at = registered.peerAddress();
         InetSocketAddress address = new InetSocketAddress(at.host(), at.port());
         addresses.put(relay, address);
-        names.computeIfAbsent(address, unseen -> new HashSet<>()).add(relay);
+        relaysByAddress.computeIfAbsent(address, unseen -> new HashSet<>()).add(relay);
         boolean near = registered.failureDomain().equals(state.settings().failureDomain());
         schedule.addRelay(relay, registered.failureDomain(), near);
         state.log().info("peer_known", "peer", relay, "address", at.toString());
     }
 
-    private void forget(String relay) {
+    private void removePeer(String relay) {
         InetSocketAddress address = addresses.remove(relay);
         if (address != null) {
-            names.get(address).remove(relay);
+            relaysByAddress.get(address).remove(relay);
         }
         schedule.removeRelay(relay);
     }
 
-    private void tell() {
+    private void sendDueReports() {
         long now = state.nowMillis();
         state.fetchLateness().nextRound();
-        shareTargets(now);
+        updateTargetSharing(now);
         List<ReportSchedule.Due> due = schedule.nextRound(now);
         if (!due.isEmpty()) {
-            LoadReport load = all(now);
+            LoadReport load = fullReport(now);
             for (ReportSchedule.Due group : due) {
-                List<StoreLateness> late = state.fetchLateness().ofLast(group.intervalRounds());
+                List<StoreLateness> late = state.fetchLateness().sumOfLast(group.intervalRounds());
                 send(PeerCodec.write(load.withInterval(group.intervalMillis(), late)), group.relays());
             }
         }
-        timer.later(this::tell, ReportSchedule.ROUND_MILLIS);
+        timer.later(this::sendDueReports, ReportSchedule.ROUND_MILLIS);
     }
 
-    /** Works out anew which relays share which targets. */
-    private void shareTargets(long now) {
+    /** Recomputes which relays share which targets. */
+    private void updateTargetSharing(long now) {
         Map<String, String> domains = new HashMap<>(schedule.liveRelayDomains(now));
         domains.put(state.settings().instance(), state.settings().failureDomain());
         state.fleet().updateRelays(state.settings().instance(), domains);
     }
 
-    private LoadReport all(long now) {
+    private LoadReport fullReport(long now) {
         return new LoadReport(
-                self,
+                relayId,
                 sequence++,
                 true,
-                work(),
-                weights(now),
-                served(now),
-                own.loading(),
+                ownLoads(),
+                knownWeights(now),
+                servedWeights(now),
+                localState.loadingTargets(),
                 state.fleet().unreachableTargets(now),
-                own.ready(),
-                own.readTo(),
+                localState.acceptsConnections(),
+                localState.readOffsets(),
                 List.of(),
                 0);
     }
 
-    /** Tells the relays that share engines at once of work that was just sent there: they would send theirs, too. */
-    private void tellAtOnce(List<Target> sentTo) {
+    /**
+     * Sends new placements at once to the relays that share the targets, which would otherwise place their own requests
+     * there too.
+     */
+    private void sendPlacements(List<Target> sentTo) {
         List<TargetLoad> changed = sentTo.stream().map(Target::ownLoad).toList();
         Set<String> sharers = sentTo.stream()
                 .flatMap(target -> target.sharingRelays().stream())
                 .collect(Collectors.toSet());
-        LoadReport load = LoadReport.ofTargets(self, sequence++, false, changed, own.ready(), own.readTo());
-        send(PeerCodec.write(load), listening(sharers));
+        LoadReport load = LoadReport.ofTargets(
+                relayId, sequence++, false, changed, localState.acceptsConnections(), localState.readOffsets());
+        send(PeerCodec.write(load), live(sharers));
     }
 
-    /** Tells the other relays what a context store said. */
-    void share(SharedStoreUpdate news) {
-        send(PeerCodec.write(news), listening(addresses.keySet()));
+    /** Sends a context store's update to all live peers. */
+    void broadcast(SharedStoreUpdate update) {
+        send(PeerCodec.write(update), live(addresses.keySet()));
     }
 
-    private List<String> listening(Set<String> relays) {
+    private List<String> live(Set<String> relays) {
         long now = state.nowMillis();
         return relays.stream().filter(relay -> schedule.isLive(relay, now)).toList();
     }
@@ -237,14 +248,14 @@
         for (String relay : relays) {
             InetSocketAddress address = addresses.get(relay);
             if (address != null) {
-                state.metrics().peerMessageSent();
+                state.metrics().recordPeerMessageSent();
                 channel.write(new DatagramPacket(Unpooled.wrappedBuffer(bytes), address));
             }
         }
         channel.flush();
     }
 
-    private List<TargetLoad> work() {
+    private List<TargetLoad> ownLoads() {
         return state.fleet().all(state.nowMillis()).stream()
                 .filter(target ->
                         target.inFlight() > 0 && target.registration().weights().size() > 0)
@@ -252,50 +263,51 @@
                 .toList();
     }
 
-    private List<KnownWeights> weights(long now) {
+    private List<KnownWeights> knownWeights(long now) {
         return state.weights().versionsWithKnownAge().stream()
                 .map(named -> new KnownWeights(named.model(), named.version(), now - named.sinceMillis()))
                 .toList();
     }
 
-    private List<ServedWeights> served(long now) {
+    private List<ServedWeights> servedWeights(long now) {
         return state.fleet().all(now).stream()
-                .flatMap(target -> target.weightsConfirmedSince(now - TOLD_MILLIS).stream())
+                .flatMap(target -> target.weightsConfirmedSince(now - SERVED_WEIGHTS_MILLIS).stream())
                 .toList();
     }
 
-    /** Takes messages. */
-    private final class Messages extends SimpleChannelInboundHandler<DatagramPacket> {
+    /** Handles received datagrams. */
+    private final class MessageHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-            state.metrics().peerMessageReceived();
-            // An address may have been another relay's, whose registration stays.
-            Set<String> relays = names.getOrDefault(packet.sender(), Set.of());
+            state.metrics().recordPeerMessageReceived();
+            // A reused address may also be in the remaining registration of its former relay.
+            Set<String> relays = relaysByAddress.getOrDefault(packet.sender(), Set.of());
             if (relays.isEmpty()) {
-                dropped(packet.sender(), "unknown_sender");
+                recordDropped(packet.sender(), "unknown_sender");
                 return;
             }
             Optional<PeerCodec.Message> message = PeerCodec.read(ByteBufUtil.getBytes(packet.content()));
             if (message.isEmpty()) {
-                dropped(packet.sender(), "unreadable");
+                recordDropped(packet.sender(), "unreadable");
             } else if (message.get() instanceof PeerCodec.Message.News news) {
-                listener.news(news.news());
+                listener.onStoreUpdate(news.news());
             } else if (message.get() instanceof PeerCodec.Message.Load load) {
                 relays.stream()
                         .filter(load.load().relay()::startsWith)
                         .findFirst()
                         .ifPresentOrElse(
-                                relay -> heard(relay, load.load()), () -> dropped(packet.sender(), "other_name"));
+                                relay -> onLoadReport(relay, load.load()),
+                                () -> recordDropped(packet.sender(), "other_name"));
             }
         }
 
-        /** Anybody may send here: what isn't a relay's message changes nothing. */
-        private void dropped(InetSocketAddress sender, String reason) {
-            state.metrics().peerMessageDropped(reason);
+        /** Counts and logs an ignored datagram: the port is open to any sender. */
+        private void recordDropped(InetSocketAddress sender, String reason) {
+            state.metrics().recordPeerMessageDropped(reason);
             state.log().info("peer_message_dropped", "sender", String.valueOf(sender), "reason", reason);
         }
 
-        private void heard(String relay, LoadReport load) {
+        private void onLoadReport(String relay, LoadReport load) {
             long now = state.nowMillis();
             schedule.onReport(relay, now);
             state.fleet().applyLoadReport(load, now);
@@ -303,13 +315,13 @@
             load.weights()
                     .forEach(known ->
                             state.weights().applyPeerAge(known.model(), known.version(), known.ageMillis(), now));
-            listener.readTo(load.readOffsets());
-            listener.unreachable(load.unreachable());
+            listener.onReadOffsets(load.readOffsets());
+            listener.onUnreachable(load.unreachable());
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A relay that isn't there any more shows as an unreachable port; the next message may reach it.
+            // A stopped relay shows as an unreachable port; the next message may reach it again.
             state.log().info("peer_unreachable", "reason", String.valueOf(cause.getMessage()));
         }
     }
@@ -318,7 +330,7 @@
     public void close() {
         timer.close();
         follower.close();
-        registering.close();
+        registrationClient.close();
         channel.close();
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PlacementBroadcaster.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PlacementBroadcaster.java
@@ -9,45 +9,45 @@
 import org.rattanrudder.core.fleet.Target;
 
 /**
- * Gathers the engines that work was just placed at, for a moment, and then has the other relays told.
+ * Batches the engines at which requests were just placed, for a broadcast to peers.
  *
- * <p>That work has ended is told with the next message of all work only: told at once, all relays would see the same
- * room and fill it together.
+ * <p>The end of a request is reported only in the next regular load report. If it were broadcast at once, all relays
+ * would see the same free capacity and fill it together.
  */
 final class PlacementBroadcaster {
     /**
-     * How long news are gathered, in ms: requests often come in groups, and a message costs each relay more than the
-     * few bytes of another engine in it.
+     * How long placements are batched: requests often arrive in bursts, and a further message costs each relay more
+     * than the few bytes of another engine in the same message.
      */
-    private static final long GATHER_MILLIS = 5;
+    private static final long BATCH_MILLIS = 5;
 
     private final EventLoop loop;
-    private final Set<Target> changed = new LinkedHashSet<>();
-    private Consumer<List<Target>> teller = unheard -> {};
+    private final Set<Target> pendingTargets = new LinkedHashSet<>();
+    private Consumer<List<Target>> listener = ignored -> {};
 
     PlacementBroadcaster(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** Sets who is given the engines. */
-    void tellBy(Consumer<List<Target>> newTeller) {
-        teller = newTeller;
+    /** Sets the listener that receives each batch. */
+    void setListener(Consumer<List<Target>> newListener) {
+        listener = newListener;
     }
 
-    /** Notes that work was placed at a target. */
+    /** Records that a request was placed at a target. */
     void recordPlacement(Target target) {
         if (target.registration().weights().isEmpty()) {
             return;
         }
-        if (changed.isEmpty()) {
-            loop.schedule(this::tell, GATHER_MILLIS, TimeUnit.MILLISECONDS);
+        if (pendingTargets.isEmpty()) {
+            loop.schedule(this::flush, BATCH_MILLIS, TimeUnit.MILLISECONDS);
         }
-        changed.add(target);
+        pendingTargets.add(target);
     }
 
-    private void tell() {
-        List<Target> news = List.copyOf(changed);
-        changed.clear();
-        teller.accept(news);
+    private void flush() {
+        List<Target> batch = List.copyOf(pendingTargets);
+        pendingTargets.clear();
+        listener.accept(batch);
     }
 }
--- /dev/null
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PollIntervals.java
@@ -0,0 +1,70 @@
+package org.rattanrudder.daemon.relay;
+
+import java.util.function.IntToLongFunction;
+import java.util.function.LongSupplier;
+
+/**
+ * The intervals at which a relay polls a topic of the platform's store.
+ *
+ * @param gapMillis the time between an answer and the next call, by the number of peers; records that arrive in the gap
+ *     are returned in one answer
+ * @param waitMillis how long a call waits for records, by the number of peers; an unresponsive connection is detected
+ *     after this wait
+ */
+record PollIntervals(IntToLongFunction gapMillis, IntToLongFunction waitMillis) {
+    private static final long MIN_GAP_MILLIS = 20;
+
+    /** With more peers than this, records written in quick succession are read in one answer. */
+    private static final int FEW_PEERS = 8;
+
+    private static final long PROMPT_GAP_MILLIS_PER_PEER = 12;
+    private static final long MAX_PROMPT_GAP_MILLIS = 400;
+
+    /** Minimum time between an answer and the next call, with many peers of which one has read a newer record. */
+    private static final long HINTED_GAP_MILLIS = 500;
+
+    /**
+     * For records that must be received within two seconds. A long poll that begins while a record is being written may
+     * not return it before its wait is over, so the wait itself ends within the bound. With many relays, some peers
+     * receive the record earlier and report their read offset.
+     */
+    static final PollIntervals PROMPT =
+            new PollIntervals(PollIntervals::promptGap, peers -> Math.min(1_500, 1_000 + 100L * peers));
+
+    /** For records that are written rarely and may be received late. */
+    static final PollIntervals RARE = new PollIntervals(peers -> MIN_GAP_MILLIS, peers -> 12_000);
+
+    /** For rare records that are written in bursts, one by each relay, and may be received late. */
+    static final PollIntervals RARE_BURSTS = new PollIntervals(peers -> 1_000, peers -> 12_000);
+
+    private static final long MIN_BATCHED_GAP_MILLIS = 600;
+    private static final long BATCHED_GAP_MILLIS_PER_PEER = 60;
+    private static final double MAX_BATCHED_GAP_SHARE = 0.6;
+
+    /**
+     * For records that are written often and must be received within a bound: several are read in one answer. With many
+     * relays each polls less often, since peers report the offset of a change that they have read; the gap alone stays
+     * within the bound.
+     */
+    static PollIntervals batched(LongSupplier boundMillis) {
+        return new PollIntervals(peers -> batchedGap(boundMillis.getAsLong(), peers), peers -> 1_000);
+    }
+
+    private static long promptGap(int peers) {
+        long wanted = PROMPT_GAP_MILLIS_PER_PEER * (peers - FEW_PEERS);
+        return Math.max(MIN_GAP_MILLIS, Math.min(MAX_PROMPT_GAP_MILLIS, wanted));
+    }
+
+    /**
+     * Returns the minimum time between an answer and the next call, in ms, if a peer has read a newer record. Without
+     * it, every relay would make a separate call for each change.
+     */
+    static long hintedGapMillis(int peers) {
+        return peers <= FEW_PEERS ? 0 : HINTED_GAP_MILLIS;
+    }
+
+    private static long batchedGap(long boundMillis, int peers) {
+        long longest = (long) (boundMillis * MAX_BATCHED_GAP_SHARE);
+        return Math.max(MIN_BATCHED_GAP_MILLIS, Math.min(longest, BATCHED_GAP_MILLIS_PER_PEER * peers));
+    }
+}
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/QuarantineExchange.java
@@ -12,75 +12,75 @@
 import org.rattanrudder.core.quarantine.Quarantine;
 import org.rattanrudder.core.quarantine.RequestFingerprint;
 import org.rattanrudder.core.quarantine.TargetCrash;
-import org.rattanrudder.daemon.relay.TopicFollower.Reading;
+import org.rattanrudder.daemon.relay.TopicFollower.InitialRead;
 import org.rattanrudder.daemon.relay.port.KeyedRecord;
 import org.rattanrudder.daemon.relay.port.QuarantineRecord;
 import org.rattanrudder.daemon.relay.port.StoreDialect.Topic;
 import org.rattanrudder.daemon.relay.port.StoreResponse;
 
 /**
- * Shares what is held against requests with the other relays, through the platform's store.
+ * Shares crashes of targets and quarantined requests with peers through the platform's store.
  *
- * <p>A caller comes back to any relay, and relays start again. Ends of targets are told while they are news; which
- * requests are quarantined stays in the store until one of the relays that saw it removes the record.
+ * <p>A caller may send a request again to any relay, and relays restart. Crashes are applied only while they are
+ * recent; a quarantine record stays in the store until one of the relays that saw it removes it.
  */
 final class QuarantineExchange implements AutoCloseable {
-    private static final long WRITE_MILLIS = 1_500;
+    private static final long WRITE_TIMEOUT_MILLIS = 1_500;
 
-    /** Ends that wait to be written while the store is away; newer ones go before older ones. */
-    private static final int MOST_UNWRITTEN = 64;
+    /** Limit of crashes that wait to be written while the store is unavailable; the oldest are dropped first. */
+    private static final int MAX_UNWRITTEN_CRASHES = 64;
 
-    private static final int FINGERPRINTS_LOGGED = 8;
+    private static final int MAX_LOGGED_FINGERPRINTS = 8;
 
     private final RelayState state;
     private final Quarantine quarantine;
-    private final CallLine line;
+    private final HttpCallClient writeClient;
     private final TopicFollower follower;
-    private final List<TargetCrash> unwritten = new ArrayList<>();
-    private long writtenTo;
+    private final List<TargetCrash> unwrittenCrashes = new ArrayList<>();
+    private long writtenOffset;
     private boolean closed;
 
     QuarantineExchange(RelayState state) {
         this.state = state;
         quarantine = state.quarantine();
-        line = new CallLine(state.connector(), state::store);
-        follower =
-                new TopicFollower(state, Topic.QUARANTINE, Pace.RARE_IN_GROUPS, Reading.NEWEST_AND_KEPT, new Records());
+        writeClient = new HttpCallClient(state.connector(), state::store);
+        follower = new TopicFollower(
+                state, Topic.QUARANTINE, PollIntervals.RARE_BURSTS, InitialRead.NEWEST_AND_KEPT, new RecordListener());
     }
 
     void start() {
         follower.start();
     }
 
-    /** Takes the records of all relays. */
-    private final class Records implements TopicFollower.Listener {
+    /** Handles the records of all relays. */
+    private final class RecordListener implements TopicFollower.Listener {
         private final Map<String, RequestFingerprint> recorded = new HashMap<>();
         private boolean listedOnce;
         private long endAtStart;
 
         @Override
-        public void record(KeyedRecord record) {
-            read(record).ifPresent(read -> take(read, record));
+        public void onRecord(KeyedRecord record) {
+            read(record).ifPresent(read -> apply(read, record));
         }
 
-        /** An end that is only listed may be from days ago; those of late are read after the listing. */
+        /** Skips crashes, which may be days old in a listing; recent ones are read after it. */
         @Override
-        public void listedRecord(KeyedRecord record) {
+        public void onListedRecord(KeyedRecord record) {
             read(record)
                     .filter(read -> !(read instanceof QuarantineRecord.Crashed))
-                    .ifPresent(read -> take(read, record));
+                    .ifPresent(read -> apply(read, record));
         }
 
         private Optional<QuarantineRecord> read(KeyedRecord record) {
             return state.platform().store().readQuarantine(record);
         }
 
-        private void take(QuarantineRecord read, KeyedRecord record) {
+        private void apply(QuarantineRecord read, KeyedRecord record) {
             if (read instanceof QuarantineRecord.Crashed crashed) {
-                crashed(crashed, record.offset());
+                applyCrashRecord(crashed, record.offset());
             } else if (read instanceof QuarantineRecord.Quarantined quarantined) {
                 recorded.put(record.key(), quarantined.request());
-                quarantined(quarantined.request());
+                applyQuarantineRecord(quarantined.request());
             } else if (read instanceof QuarantineRecord.Released released) {
                 recorded.remove(record.key());
                 quarantine.onRecordRemoved(released.request(), state.nowMillis());
@@ -92,22 +92,22 @@
             }
         }
 
-        private void crashed(QuarantineRecord.Crashed crashed, long offset) {
+        private void applyCrashRecord(QuarantineRecord.Crashed crashed, long offset) {
             if (offset < endAtStart) {
                 quarantine.onPastCrash(crashed.crash(), state.nowMillis());
             } else if (!crashed.relay().equals(state.settings().instance())) {
-                note(crashed.crash(), false, crashed.relay());
+                applyCrash(crashed.crash(), false, crashed.relay());
             }
         }
 
-        private void quarantined(RequestFingerprint request) {
+        private void applyQuarantineRecord(RequestFingerprint request) {
             boolean known = isQuarantined(request);
             quarantine.onRecord(request, !listedOnce, state.nowMillis());
             logIfNew(request, known, "store");
         }
 
         @Override
-        public void listed(Set<String> keys, long end) {
+        public void onListed(Set<String> keys, long end) {
             if (!listedOnce) {
                 endAtStart = end;
             }
@@ -117,9 +117,9 @@
         }
     }
 
-    /** Notes the end of a target that was seen here, and tells the others. */
-    void crashed(Target target, Set<RequestFingerprint> requests) {
-        state.metrics().targetCrashed(target.registration().service());
+    /** Records a target's crash that this relay has observed, and writes it to the store for peers. */
+    void onCrash(Target target, Set<RequestFingerprint> requests) {
+        state.metrics().recordTargetCrash(target.registration().service());
         state.log()
                 .warn(
                         "target_crashed",
@@ -131,7 +131,7 @@
                         Integer.toString(requests.size()),
                         "fingerprints",
                         requests.stream()
-                                .limit(FINGERPRINTS_LOGGED)
+                                .limit(MAX_LOGGED_FINGERPRINTS)
                                 .map(RequestFingerprint::toHex)
                                 .collect(Collectors.joining(",")));
         Set<RequestFingerprint> suspects = quarantine.suspectable(requests, state.nowMillis());
@@ -139,15 +139,15 @@
             return;
         }
         TargetCrash crash = new TargetCrash(target.id(), target.registration().startedAt(), suspects);
-        note(crash, true, "self");
-        unwritten.add(crash);
-        if (unwritten.size() > MOST_UNWRITTEN) {
-            unwritten.remove(0);
+        applyCrash(crash, true, "self");
+        unwrittenCrashes.add(crash);
+        if (unwrittenCrashes.size() > MAX_UNWRITTEN_CRASHES) {
+            unwrittenCrashes.remove(0);
         }
         write();
     }
 
-    private void note(TargetCrash crash, boolean seenHere, String by) {
+    private void applyCrash(TargetCrash crash, boolean seenHere, String by) {
         Set<RequestFingerprint> known =
                 crash.requests().stream().filter(this::isQuarantined).collect(Collectors.toSet());
         quarantine.onCrash(crash, seenHere, state.nowMillis());
@@ -164,17 +164,17 @@
         }
     }
 
-    /** Lets go what was held for long enough, and writes what the store still lacks; called every now and then. */
+    /** Expires old entries, and writes records that the store lacks; called periodically. */
     void sweep() {
         quarantine.expire(state.nowMillis());
         write();
     }
 
     private void write() {
-        if (line.isBusy() || closed) {
+        if (writeClient.isBusy() || closed) {
             return;
         }
-        List<TargetCrash> crashes = List.copyOf(unwritten);
+        List<TargetCrash> crashes = List.copyOf(unwrittenCrashes);
         List<RequestFingerprint> unrecorded = quarantine.recordsToWrite();
         List<RequestFingerprint> outdated = quarantine.recordsToRemove();
         List<QuarantineRecord> records = new ArrayList<>();
@@ -185,40 +185,40 @@
         if (records.isEmpty()) {
             return;
         }
-        line.call(state.platform().store().write(records), WRITE_MILLIS, answer -> {
-            state.metrics().storeCall("QUARANTINE_WRITE");
+        writeClient.call(state.platform().store().write(records), WRITE_TIMEOUT_MILLIS, answer -> {
+            state.metrics().recordStoreCall("QUARANTINE_WRITE");
             long offset = offset(answer);
             if (offset < 0) {
                 return;
             }
-            writtenTo = offset + records.size();
-            unwritten.removeAll(crashes);
+            writtenOffset = offset + records.size();
+            unwrittenCrashes.removeAll(crashes);
             unrecorded.forEach(quarantine::onRecordWritten);
             outdated.forEach(request -> quarantine.onRecordRemoved(request, state.nowMillis()));
             write();
         });
     }
 
-    /** Returns where the records begin; -1 if it isn't known that they were written. */
-    private long offset(CallAnswer answer) {
-        StoreResponse read = answer.ofAppend(state.platform().store());
+    /** Returns the offset of the first written record, or -1 if it isn't certain that they were written. */
+    private long offset(CallResult answer) {
+        StoreResponse read = answer.toAppendResponse(state.platform().store());
         if (read instanceof StoreResponse.Failed failed && failed.status() == HttpResponseStatus.OK.code()) {
             state.log().warn("answer_unreadable", "reason", failed.reason().orElse("unknown"));
         }
         return read instanceof StoreResponse.Appended appended ? appended.offset() : -1;
     }
 
-    /** Returns up to which offset the others should have read. */
-    long readTo() {
-        return Math.max(writtenTo, follower.readTo());
+    /** Returns the offset up to which peers should have read. */
+    long readOffset() {
+        return Math.max(writtenOffset, follower.readOffset());
     }
 
-    /** Another relay has read, or written, so far. */
-    void hint(long readTo) {
-        follower.hint(readTo);
+    /** Handles the offset up to which a peer has read or written. */
+    void onPeerOffset(long readTo) {
+        follower.onPeerOffset(readTo);
     }
 
-    /** The store has another address. */
+    /** Reads from the store's new address. */
     void reconnect() {
         follower.reconnect();
     }
@@ -227,6 +227,6 @@
     public void close() {
         closed = true;
         follower.close();
-        line.close();
+        writeClient.close();
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Rehearsal.java
@@ -32,18 +32,18 @@
 import org.rattanrudder.wire.peer.PeerCodec;
 
 /**
- * Loads what a relay loads when it starts, for the build to dump as a class-data archive.
+ * Loads the classes that a relay needs at start, so that the build can dump them as a class-data sharing archive.
  *
- * <p>A relay that is started again takes no requests until its classes are loaded and checked. With the archive they
- * are mapped in place of that. The rehearsal starts a relay on loopback, before a store and targets that answer as the
- * platform's would, and sends it requests until they are served.
+ * <p>A restarted relay can't serve requests until its classes are loaded and verified. With the archive they are mapped
+ * into memory instead. The rehearsal starts a relay on loopback, together with a store and targets that answer like the
+ * platform's, and sends it requests until they are served.
  */
 public final class Rehearsal {
-    private static final int TRIES = 5;
-    private static final int ASKED_MILLIS = 2_000;
-    private static final int MOST_ASKED = 2_000;
-    private static final String SERVED = "HTTP/1.1 200";
-    private static final String PAGE = "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+    private static final int MAX_START_ATTEMPTS = 5;
+    private static final int READ_TIMEOUT_MILLIS = 2_000;
+    private static final int MAX_SENDS = 2_000;
+    private static final String SUCCESS_STATUS_LINE = "HTTP/1.1 200";
+    private static final String STATUS_REQUEST = "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
 
     private Rehearsal() {}
 
@@ -52,12 +52,12 @@
         Logging.install();
         new RelaySettingsParser().parse("{}");
         loadOwnClasses();
-        tellAndHear();
+        encodeAndDecodePeerMessages();
         PlatformAdapter adapter =
                 ServiceLoader.load(PlatformAdapter.class).findFirst().orElseThrow();
         try (RehearsalServer server = new RehearsalServer(adapter.rehearsal())) {
             RelayProcess relay = null;
-            for (int tries = 0; relay == null && tries < TRIES; tries++) {
+            for (int tries = 0; relay == null && tries < MAX_START_ATTEMPTS; tries++) {
                 relay = tryToStart(adapter, server.address());
             }
             if (relay != null) {
@@ -68,8 +68,8 @@
         System.exit(0);
     }
 
-    /** Writes and reads what relays tell each other. */
-    private static void tellAndHear() {
+    /** Encodes and decodes the messages that relays exchange. */
+    private static void encodeAndDecodePeerMessages() {
         LoadReport load = LoadReport.ofTargets(
                         "rehearsal",
                         1,
@@ -79,12 +79,12 @@
                         new LoadReport.ReadOffsets(1, 1, 1))
                 .withInterval(ReportSchedule.ROUND_MILLIS, List.of(StoreLateness.of(new Address("127.0.0.1", 1), 1)));
         PeerCodec.read(PeerCodec.write(load));
-        StoreUpdate news = new StoreUpdate(
+        StoreUpdate update = new StoreUpdate(
                 1, 2, false, List.of(new PartEvent(new PartKey("w1", "part"), 1, true)), OptionalLong.of(1));
-        PeerCodec.read(PeerCodec.write(new SharedStoreUpdate(new Address("127.0.0.1", 1), 1, news, 1)));
+        PeerCodec.read(PeerCodec.write(new SharedStoreUpdate(new Address("127.0.0.1", 1), 1, update, 1)));
     }
 
-    /** Starts a relay on free ports and asks it; returns null if a port was taken meanwhile. */
+    /** Starts a relay on free ports and sends it requests; returns null if another process has taken a port. */
     private static RelayProcess tryToStart(PlatformAdapter adapter, Address store) {
         try {
             RelaySettings settings = new RelaySettings(
@@ -98,10 +98,10 @@
                     new Bounds(0.2, 10, 10_000, 1_000, 10_000, 1_000, 1_000));
             RelayProcess relay = new RelayProcess(settings, adapter, RandomGenerator.getDefault());
             for (String request : adapter.rehearsal().requests()) {
-                askUntilServed(settings.callers(), request);
+                sendUntilServed(settings.callers(), request);
             }
-            ask(settings.readiness(), PAGE);
-            ask(settings.metrics(), PAGE);
+            send(settings.readiness(), STATUS_REQUEST);
+            send(settings.metrics(), STATUS_REQUEST);
             return relay;
         } catch (IOException taken) {
             System.err.println("rehearsal: " + taken.getMessage());
@@ -109,10 +109,10 @@
         }
     }
 
-    /** Sends a request until it is served: the relay first reads whom to send it to. */
-    private static void askUntilServed(Address address, String request) throws IOException {
-        for (int asked = 0; asked < MOST_ASKED; asked++) {
-            if (ask(address, request).startsWith(SERVED)) {
+    /** Sends a request until it is served, since the relay first has to read its configuration and targets. */
+    private static void sendUntilServed(Address address, String request) throws IOException {
+        for (int asked = 0; asked < MAX_SENDS; asked++) {
+            if (send(address, request).startsWith(SUCCESS_STATUS_LINE)) {
                 return;
             }
         }
@@ -120,9 +120,9 @@
                 "rehearsal: not served: " + request.lines().findFirst().orElse(""));
     }
 
-    private static String ask(Address address, String request) throws IOException {
+    private static String send(Address address, String request) throws IOException {
         try (Socket socket = new Socket(address.host(), address.port())) {
-            socket.setSoTimeout(ASKED_MILLIS);
+            socket.setSoTimeout(READ_TIMEOUT_MILLIS);
             socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
             InputStream answer = socket.getInputStream();
             return new String(answer.readAllBytes(), StandardCharsets.UTF_8);
@@ -143,7 +143,7 @@
         try (JarFile jar = new JarFile(file.toFile())) {
             jar.stream()
                     .map(JarEntry::getName)
-                    .filter(name -> name.endsWith(".class") && isOfRelays(name))
+                    .filter(name -> name.endsWith(".class") && isRelayClass(name))
                     .forEach(names::add);
         }
         for (String name : names) {
@@ -151,7 +151,7 @@
         }
     }
 
-    private static boolean isOfRelays(String name) {
+    private static boolean isRelayClass(String name) {
         return name.matches(".*/(gateway|fleet|parts|quarantine|rollout|relay|port|peer|platform)/[A-Z][^/]*"
                 + "|.*/daemon/(Signals|Settings)[^/]*");
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RehearsalServer.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RehearsalServer.java
@@ -12,34 +12,34 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.daemon.relay.port.RehearsalScript;
 
-/** The platform's store and all targets of a rehearsal, on one port of the loopback address. */
+/** Serves the platform's store and all targets of a rehearsal on one port of the loopback address. */
 final class RehearsalServer implements AutoCloseable {
-    private static final String LENGTH = "content-length:";
+    private static final String CONTENT_LENGTH = "content-length:";
 
-    private final ServerSocket listening;
+    private final ServerSocket serverSocket;
     private final RehearsalScript script;
 
     RehearsalServer(RehearsalScript script) throws IOException {
         this.script = script;
-        listening = new ServerSocket(0, 0, InetAddress.getByName("127.0.0.1"));
-        inBackground(this::accept);
+        serverSocket = new ServerSocket(0, 0, InetAddress.getByName("127.0.0.1"));
+        runInBackground(this::accept);
     }
 
-    /** Returns where it listens. */
+    /** Returns the address that the server listens on. */
     Address address() {
-        return new Address("127.0.0.1", listening.getLocalPort());
+        return new Address("127.0.0.1", serverSocket.getLocalPort());
     }
 
-    private interface Step {
+    private interface IoTask {
         void run() throws IOException;
     }
 
-    private static void inBackground(Step step) {
+    private static void runInBackground(IoTask step) {
         Thread thread = new Thread(() -> {
             try {
                 step.run();
             } catch (IOException ended) {
-                // The rehearsal is over, or the relay has closed the connection.
+                // The server was closed, or the relay has closed the connection.
             }
         });
         thread.setDaemon(true);
@@ -48,8 +48,8 @@
 
     private void accept() throws IOException {
         while (true) {
-            Socket socket = listening.accept();
-            inBackground(() -> serve(socket));
+            Socket socket = serverSocket.accept();
+            runInBackground(() -> serve(socket));
         }
     }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Returns the head of the next call, whose body is read and left out. */
+    /** Returns the head of the next call, and skips the body. */
     private static String readCall(BufferedReader in) throws IOException {
         StringBuilder head = new StringBuilder();
         long body = 0;
@@ -74,8 +74,8 @@
             if (line == null) {
                 throw new IOException("connection ended");
             }
-            if (line.toLowerCase(Locale.ROOT).startsWith(LENGTH)) {
-                body = Long.parseLong(line.substring(LENGTH.length()).trim());
+            if (line.toLowerCase(Locale.ROOT).startsWith(CONTENT_LENGTH)) {
+                body = Long.parseLong(line.substring(CONTENT_LENGTH.length()).trim());
             }
             head.append(line).append('\n');
         }
@@ -87,6 +87,6 @@
 
     @Override
     public void close() throws IOException {
-        listening.close();
+        serverSocket.close();
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayMetrics.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayMetrics.java
@@ -11,22 +11,24 @@
 import java.io.UncheckedIOException;
 import java.util.function.DoubleSupplier;
 
-/** What a relay counts. Labels come from closed lists and the configuration, never from callers. */
+/** The metrics of a relay. Label values come from fixed sets and the configuration, never from callers. */
 final class RelayMetrics {
     private static final double MILLIS_PER_SECOND = 1_000;
-    private static final double[] SECONDS = {0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2, 4, 8, 12};
+    private static final double[] FIRST_BYTE_BUCKETS_SECONDS = {
+        0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2, 4, 8, 12
+    };
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private final Counter requests;
     private final Counter attempts;
     private final Counter storeCalls;
-    private final Counter unreadable;
+    private final Counter unreadableRecords;
     private final Counter targetsCrashed;
-    private final Counter recordParts;
+    private final Counter parts;
     private final Counter peerMessagesDropped;
     private final CounterDataPoint peerMessagesSent;
     private final CounterDataPoint peerMessagesReceived;
-    private final Histogram recordFirstByte;
+    private final Histogram firstByte;
 
     RelayMetrics() {
         requests =
@@ -34,14 +36,13 @@
         attempts =
                 counter("rattanrudder_relay_attempts", "Attempts at targets, by how they ended", "service", "outcome");
         storeCalls = counter("rattanrudder_relay_store_calls", "Calls to the platform's store", "topic");
-        unreadable = counter(
+        unreadableRecords = counter(
                 "rattanrudder_relay_records_unreadable",
                 "Records of the platform's store that couldn't be read",
                 "topic");
         targetsCrashed = counter(
                 "rattanrudder_relay_targets_crashed", "Targets that ended in the middle of requests", "service");
-        recordParts =
-                counter("rattanrudder_relay_parts", "Shared parts of prompts, by what was planned for them", "plan");
+        parts = counter("rattanrudder_relay_parts", "Shared parts of prompts, by what was planned for them", "plan");
         peerMessagesDropped = counter(
                 "rattanrudder_relay_peer_messages_dropped",
                 "Messages of unknown senders or in a form that couldn't be read",
@@ -50,12 +51,12 @@
                 counter("rattanrudder_relay_peer_messages", "Messages of and to other relays", "direction");
         peerMessagesSent = peerMessages.labelValues("sent");
         peerMessagesReceived = peerMessages.labelValues("received");
-        recordFirstByte = Histogram.builder()
+        firstByte = Histogram.builder()
                 .name("rattanrudder_relay_first_byte_seconds")
                 .help("Time from a request's arrival to the first byte of its answer")
                 .labelNames("route")
                 .classicOnly()
-                .classicUpperBounds(SECONDS)
+                .classicUpperBounds(FIRST_BYTE_BUCKETS_SECONDS)
                 .register(registry);
     }
 
@@ -76,44 +77,44 @@
     }
 
     void recordFirstByte(String route, long millis) {
-        recordFirstByte.labelValues(route).observe(millis / MILLIS_PER_SECOND);
+        firstByte.labelValues(route).observe(millis / MILLIS_PER_SECOND);
     }
 
     void recordAttempt(String service, String outcome) {
         attempts.labelValues(service, outcome).inc();
     }
 
-    void storeCall(String topic) {
+    void recordStoreCall(String topic) {
         storeCalls.labelValues(topic).inc();
     }
 
-    void unreadable(String topic) {
-        unreadable.labelValues(topic).inc();
+    void recordUnreadable(String topic) {
+        unreadableRecords.labelValues(topic).inc();
     }
 
-    void targetCrashed(String service) {
+    void recordTargetCrash(String service) {
         targetsCrashed.labelValues(service).inc();
     }
 
-    void peerMessageSent() {
+    void recordPeerMessageSent() {
         peerMessagesSent.inc();
     }
 
-    void peerMessageReceived() {
+    void recordPeerMessageReceived() {
         peerMessagesReceived.inc();
     }
 
-    void peerMessageDropped(String reason) {
+    void recordPeerMessageDropped(String reason) {
         peerMessagesDropped.labelValues(reason).inc();
     }
 
     void recordParts(String plan, int count) {
         if (count > 0) {
-            recordParts.labelValues(plan).inc(count);
+            parts.labelValues(plan).inc(count);
         }
     }
 
-    /** Returns all metrics as text. */
+    /** Returns all metrics in the Prometheus text format. */
     byte[] text() {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         try {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -31,7 +31,7 @@
 import org.rattanrudder.daemon.loop.Closer;
 import org.rattanrudder.daemon.loop.MonotonicClock;
 import org.rattanrudder.daemon.loop.RunningProcess;
-import org.rattanrudder.daemon.relay.TopicFollower.Reading;
+import org.rattanrudder.daemon.relay.TopicFollower.InitialRead;
 import org.rattanrudder.daemon.relay.port.KeyedRecord;
 import org.rattanrudder.daemon.relay.port.PlatformAdapter;
 import org.rattanrudder.daemon.relay.port.StoreDialect;
@@ -41,7 +41,7 @@
 import org.rattanrudder.document.RelaySettings;
 
 /**
- * A relay that runs.
+ * Runs a relay: wires its components, listens for callers and handles shutdown.
  *
  * <pre>{@code
  * try (RelayProcess relay = new RelayProcess(settings, adapter, RandomGenerator.getDefault())) {
@@ -50,8 +50,8 @@
  * }</pre>
  */
 public final class RelayProcess implements RunningProcess {
-    /** How often connections are looked at, in ms. */
-    static final long SWEEP_MILLIS = 500;
+    /** Interval of the check of all connections. */
+    static final long SWEEP_INTERVAL_MILLIS = 500;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
@@ -59,23 +59,23 @@
     private final RelayState state;
     private final TargetPools pools;
     private final String incarnation;
-    private final TopicFollower wishes;
-    private final TopicFollower targets;
+    private final TopicFollower desiredState;
+    private final TopicFollower targetTopic;
     private final PeerExchange peers;
-    private final OrderGiver orders;
+    private final RolloutCoordinator rollouts;
     private final QuarantineExchange quarantine;
     private final EventLoop loop;
     private final Set<CallerConnection> callers = new HashSet<>();
-    private final Map<Address, StoreWatch> stores = new HashMap<>();
-    private final Channel callersListening;
-    private final OutdatedParts outdated;
-    private final RelayStop stop;
-    private long targetsChangedTo;
+    private final Map<Address, StoreWatch> storeWatches = new HashMap<>();
+    private final Channel callerListener;
+    private final OutdatedPartEvictor partEvictor;
+    private final GracefulShutdown shutdown;
+    private long targetsChangedOffset;
 
     /**
      * Starts a relay.
      *
-     * @throws IOException if it can't listen
+     * @throws IOException if it can't listen on one of its addresses
      */
     public RelayProcess(RelaySettings settings, PlatformAdapter platform, RandomGenerator random) throws IOException {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -84,27 +84,29 @@
         EventLog log = new EventLog(Logger.getLogger(RelayProcess.class), new MonotonicClock());
         state = new RelayState(
                 settings, platform, loop, RelayChannels.connector(group), log, new RelayMetrics(), random);
-        pools = new TargetPools(state.connector(), loop, platform.requests(), state::nowMillis, new Reached());
-        outdated = new OutdatedParts(state, stores);
-        stop = new RelayStop(state, callers, this::sweep);
-        gauges();
-        callersListening = listen(group, settings.callers(), RelayChannels.callers(state, pools, callers));
+        pools = new TargetPools(
+                state.connector(), loop, platform.requests(), state::nowMillis, new ReachabilityHandler());
+        partEvictor = new OutdatedPartEvictor(state, storeWatches);
+        shutdown = new GracefulShutdown(state, callers, this::sweep);
+        registerGauges();
+        callerListener = listen(group, settings.callers(), RelayChannels.callers(state, pools, callers));
         listen(group, settings.readiness(), new StatusServer(this::readiness));
         listen(group, settings.metrics(), new StatusServer(this::metrics));
         incarnation = settings.instance() + "-" + Long.toHexString(random.nextLong());
-        wishes = new TopicFollower(state, Topic.WISHES, Pace.PROMPT, Reading.NEWEST, new Wishes());
-        targets = new TopicFollower(
+        desiredState = new TopicFollower(
+                state, Topic.WISHES, PollIntervals.PROMPT, InitialRead.NEWEST, new DesiredStateListener());
+        targetTopic = new TopicFollower(
                 state,
                 Topic.TARGETS,
-                Pace.gathered(() -> state.settings().bounds().drainMillis()),
-                Reading.NEWEST,
-                new Targets());
-        orders = new OrderGiver(state, incarnation);
+                PollIntervals.batched(() -> state.settings().bounds().drainMillis()),
+                InitialRead.NEWEST,
+                new TargetListener());
+        rollouts = new RolloutCoordinator(state, incarnation);
         quarantine = closer.add(new QuarantineExchange(state));
-        state.crashDetector().use(pools::probe, quarantine::crashed);
-        peers = closer.add(
-                new PeerExchange(state, new Bootstrap().group(group), incarnation, new OwnNews(), new PeerNews()));
-        loop.execute(this::begin);
+        state.crashDetector().use(pools::probe, quarantine::onCrash);
+        peers = closer.add(new PeerExchange(
+                state, new Bootstrap().group(group), incarnation, new LocalState(), new PeerListener()));
+        loop.execute(this::startComponents);
     }
 
     private Channel listen(EventLoopGroup group, Address address, ChannelInitializer<Channel> channels)
@@ -119,58 +121,58 @@
         }
     }
 
-    private void begin() {
-        wishes.start();
-        targets.start();
+    private void startComponents() {
+        desiredState.start();
+        targetTopic.start();
         peers.start();
-        orders.start();
+        rollouts.start();
         quarantine.start();
-        closer.add(new StepTimer(loop)).every(this::sweep, SWEEP_MILLIS);
+        closer.add(new StepTimer(loop)).every(this::sweep, SWEEP_INTERVAL_MILLIS);
     }
 
-    /** What this relay tells others. */
-    private final class OwnNews implements PeerExchange.OwnNews {
+    /** Provides the local state that is sent to peers. */
+    private final class LocalState implements PeerExchange.LocalState {
         @Override
-        public List<String> loading() {
-            return orders.loading();
+        public List<String> loadingTargets() {
+            return rollouts.loadingTargets();
         }
 
         @Override
-        public boolean ready() {
+        public boolean acceptsConnections() {
             return isReady();
         }
 
         @Override
-        public ReadOffsets readTo() {
-            return new ReadOffsets(wishes.readTo(), targetsChangedTo, quarantine.readTo());
+        public ReadOffsets readOffsets() {
+            return new ReadOffsets(desiredState.readOffset(), targetsChangedOffset, quarantine.readOffset());
         }
     }
 
-    /** Takes what other relays say. */
-    private final class PeerNews implements PeerExchange.Listener {
+    /** Handles messages of peers. */
+    private final class PeerListener implements PeerExchange.Listener {
         @Override
-        public void news(SharedStoreUpdate news) {
-            StoreWatch watch = stores.get(news.store());
+        public void onStoreUpdate(SharedStoreUpdate update) {
+            StoreWatch watch = storeWatches.get(update.store());
             if (watch != null) {
-                watch.told(news);
+                watch.onSharedUpdate(update);
             }
         }
 
         @Override
-        public void readTo(ReadOffsets others) {
-            wishes.hint(others.desiredConfiguration());
-            targets.hint(others.targetsChanged());
-            quarantine.hint(others.quarantine());
+        public void onReadOffsets(ReadOffsets others) {
+            desiredState.onPeerOffset(others.desiredConfiguration());
+            targetTopic.onPeerOffset(others.targetsChanged());
+            quarantine.onPeerOffset(others.quarantine());
         }
 
         @Override
-        public void unreachable(List<String> lost) {
-            lost.forEach(id -> state.fleet().find(id).ifPresent(pools::verify));
+        public void onUnreachable(List<String> unreachable) {
+            unreachable.forEach(id -> state.fleet().find(id).ifPresent(pools::verify));
         }
     }
 
-    /** Takes what dials found. */
-    private final class Reached implements TargetPools.ReachabilityListener {
+    /** Handles targets that have become reachable again. */
+    private final class ReachabilityHandler implements TargetPools.ReachabilityListener {
         @Override
         public boolean isKnown(Target target) {
             return state.fleet().find(target.id()).filter(target::equals).isPresent();
@@ -183,30 +185,30 @@
         }
     }
 
-    /** Takes what operators want. */
-    private final class Wishes implements TopicFollower.Listener {
-        /** Whether all that had been wished before this relay was there has been read. */
+    /** Handles the configuration and the weights that operators have published. */
+    private final class DesiredStateListener implements TopicFollower.Listener {
+        /** Whether all records from before this relay's start have been read. */
         private boolean caughtUp;
 
         @Override
-        public void record(KeyedRecord record) {
+        public void onRecord(KeyedRecord record) {
             StoreDialect store = state.platform().store();
-            store.readDesiredState(record).ifPresent(wish -> {
-                if (wish instanceof DesiredState.DesiredConfiguration configured) {
-                    configured(configured, record.offset());
-                } else if (wish instanceof DesiredState.DesiredWeights weights) {
-                    named(weights.weights(), record.offset());
+            store.readDesiredState(record).ifPresent(desired -> {
+                if (desired instanceof DesiredState.DesiredConfiguration configured) {
+                    onConfiguration(configured, record.offset());
+                } else if (desired instanceof DesiredState.DesiredWeights weights) {
+                    onDesiredWeights(weights.weights(), record.offset());
                 }
             });
         }
 
-        private void named(WeightsVersion weights, long offset) {
+        private void onDesiredWeights(WeightsVersion weights, long offset) {
             DesiredVersions versions = state.weights();
-            boolean news = caughtUp
+            boolean isNew = caughtUp
                     ? versions.addDesired(weights.model(), weights.version(), state.nowMillis())
                     : versions.addFoundAtStart(weights.model(), weights.version());
-            if (news) {
-                orders.wake();
+            if (isNew) {
+                rollouts.pollNow();
                 state.log()
                         .info(
                                 "weights_named",
@@ -221,20 +223,20 @@
             }
         }
 
-        /** Versions only rise: an older record of the same key would change nothing. */
+        /** Versions only increase, so an older record of the same key would have no effect. */
         @Override
-        public boolean newestSuffices() {
+        public boolean needsOnlyNewest() {
             return true;
         }
 
         @Override
-        public void listed(Set<String> keys, long end) {
+        public void onListed(Set<String> keys, long end) {
             caughtUp = true;
         }
     }
 
-    private void configured(DesiredState.DesiredConfiguration configured, long offset) {
-        if (!state.configure(configured.configuration())) {
+    private void onConfiguration(DesiredState.DesiredConfiguration configured, long offset) {
+        if (!state.updateConfiguration(configured.configuration())) {
             return;
         }
         state.log()
@@ -253,24 +255,24 @@
 
     private void watchStores(List<ContextStore> configured) {
         Set<Address> wanted = configured.stream().map(ContextStore::address).collect(Collectors.toSet());
-        for (Address gone : List.copyOf(stores.keySet())) {
-            if (!wanted.contains(gone)) {
-                stores.remove(gone).close();
+        for (Address removed : List.copyOf(storeWatches.keySet())) {
+            if (!wanted.contains(removed)) {
+                storeWatches.remove(removed).close();
             }
         }
         for (Address address : wanted) {
-            if (!stores.containsKey(address)) {
-                StoreWatch watch = new StoreWatch(state, incarnation, address, peers::share);
-                stores.put(address, watch);
+            if (!storeWatches.containsKey(address)) {
+                StoreWatch watch = new StoreWatch(state, incarnation, address, peers::broadcast);
+                storeWatches.put(address, watch);
                 watch.start();
             }
         }
     }
 
-    /** Takes the targets' entries. */
-    private final class Targets implements TopicFollower.Listener {
+    /** Handles the registrations of targets. */
+    private final class TargetListener implements TopicFollower.Listener {
         @Override
-        public void record(KeyedRecord record) {
+        public void onRecord(KeyedRecord record) {
             long now = state.nowMillis();
             StoreDialect store = state.platform().store();
             Optional<TargetRegistration> before =
@@ -282,13 +284,13 @@
                 state.fleet().onUnreadableRecord(record.key(), record.offset());
                 throw unreadable;
             }
-            boolean news = state.fleet().apply(record.key(), read, record.offset(), now);
+            boolean isNew = state.fleet().apply(record.key(), read, record.offset(), now);
             Optional<TargetRegistration> after =
                     state.fleet().find(record.key()).map(Target::registration);
-            if (!news || (before.equals(after) && record.value().isPresent())) {
+            if (!isNew || (before.equals(after) && record.value().isPresent())) {
                 return;
             }
-            targetsChangedTo = Math.max(targetsChangedTo, record.offset() + 1);
+            targetsChangedOffset = Math.max(targetsChangedOffset, record.offset() + 1);
             state.log()
                     .info(
                             "target_changed",
@@ -304,17 +306,17 @@
         }
 
         @Override
-        public void listed(Set<String> keys, long end) {
+        public void onListed(Set<String> keys, long end) {
             state.fleet().applyListing(keys, end, state.nowMillis());
         }
 
         @Override
-        public void answered() {
+        public void onAvailable() {
             state.fleet().onLogAvailable(state.nowMillis());
         }
 
         @Override
-        public void lost() {
+        public void onUnavailable() {
             state.fleet().onLogUnavailable();
         }
     }
@@ -323,17 +325,18 @@
         long now = state.nowMillis();
         state.eventLoopLag().onTaskRun(now);
         boolean closeIdle = state.isRefusingRequests();
-        if (closeIdle && callersListening.isOpen()) {
-            callersListening.close();
+        if (closeIdle && callerListener.isOpen()) {
+            callerListener.close();
         }
-        // Late, what callers have sent may lie unread, and they look idle; a stop has no time to wait for that.
+        // If the event loop is late, callers' data may be unread and their connections only seem idle. During shutdown
+        // there is no time to wait for that.
         if (closeIdle || !state.eventLoopLag().isLate(now)) {
             List.copyOf(callers).forEach(caller -> caller.sweep(now, closeIdle));
         }
         pools.sweep(Set.copyOf(state.fleet().all(now)), now);
-        outdated.free(now);
+        partEvictor.free(now);
         quarantine.sweep();
-        stop.look(now);
+        shutdown.checkFinished(now);
     }
 
     private StatusServer.Page readiness(String path) {
@@ -352,7 +355,7 @@
         return new StatusServer.Page(HttpResponseStatus.OK, state.metrics().text());
     }
 
-    private void gauges() {
+    private void registerGauges() {
         state.metrics().gauge("rattanrudder_relay_connections", "Callers' connections", callers::size);
         state.metrics()
                 .gauge(
@@ -389,14 +392,14 @@
                         () -> state.isStopping() ? 1 : 0);
     }
 
-    /** Takes over what may change while a relay runs from settings that were read again. */
+    /** Applies those reloaded settings that may change while a relay runs. */
     public void applySettings(RelaySettings read) {
         loop.execute(() -> {
             Address before = state.store();
             state.applySettings(read);
             if (!state.store().equals(before)) {
-                wishes.reconnect();
-                targets.reconnect();
+                desiredState.reconnect();
+                targetTopic.reconnect();
                 quarantine.reconnect();
             }
         });
@@ -409,8 +412,8 @@
 
     @Override
     public boolean drain() throws InterruptedException {
-        loop.execute(stop::begin);
-        return stop.await();
+        loop.execute(shutdown::start);
+        return shutdown.await();
     }
 
     @Override
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -26,12 +26,12 @@
 import org.rattanrudder.daemon.relay.port.PlatformAdapter;
 import org.rattanrudder.document.RelaySettings;
 
-/** What the parts of a relay share. It is owned by the event loop: nothing else may touch it. */
+/** Holds the state that a relay's components share. It is confined to the event loop, unless stated otherwise. */
 final class RelayState {
-    /** Part of the ratio that is used: windows of others begin and end at other times. */
-    private static final double RATIO_USED = 0.8;
+    /** Share of the permitted retry ratio that is used, since other parties measure it in windows with other bounds. */
+    private static final double USED_RATIO_SHARE = 0.8;
 
-    /** Replaced on the event loop, read by others too. */
+    /** Replaced on the event loop only, but read by other threads too. */
     private volatile RelaySettings settings;
 
     private final PlatformAdapter platform;
@@ -42,10 +42,10 @@
     private final RandomGenerator random;
     private final Fleet fleet = new Fleet();
     private final PartDirectory directory;
-    private final Map<String, WindowedRetryBudget> allowances = new HashMap<>();
+    private final Map<String, WindowedRetryBudget> retryBudgets = new HashMap<>();
     private final DesiredVersions weights = new DesiredVersions();
-    private final Map<String, HoldingQueue<Exchange>> lines = new HashMap<>();
-    private final Set<String> linesBeingDrained = new HashSet<>();
+    private final Map<String, HoldingQueue<Exchange>> holdingQueues = new HashMap<>();
+    private final Set<String> scheduledDispatches = new HashSet<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
     private final EventLoopLag eventLoopLag;
     private final long relayHash;
@@ -53,11 +53,11 @@
     private final FetchLatenessRecorder fetchLateness = new FetchLatenessRecorder();
     private final CrashDetector crashDetector;
     private final Quarantine quarantine = new Quarantine();
-    private boolean isDraining;
+    private boolean draining;
     private long drainingSince;
-    private boolean isStopping;
+    private boolean stopping;
     private long stoppingSince;
-    private long graceAtStop;
+    private long graceMillisAtStop;
 
     RelayState(
             RelaySettings settings,
@@ -78,15 +78,15 @@
         relayHash = Hashing.of(settings.instance());
         placementBroadcaster = new PlacementBroadcaster(loop);
         crashDetector = new CrashDetector(loop);
-        eventLoopLag = new EventLoopLag(nowMillis(), RelayProcess.SWEEP_MILLIS);
+        eventLoopLag = new EventLoopLag(nowMillis(), RelayProcess.SWEEP_INTERVAL_MILLIS);
     }
 
-    /** Returns milliseconds of a steady clock. */
+    /** Returns the time of a monotonic clock, in ms. */
     long nowMillis() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    /** Returns whether the event loop has lately run late. */
+    /** Returns the monitor of the event loop's lag. */
     EventLoopLag eventLoopLag() {
         return eventLoopLag;
     }
@@ -95,21 +95,21 @@
         return settings;
     }
 
-    /** Returns where the platform's store listens. */
+    /** Returns the address of the platform's store. */
     Address store() {
         return settings.store();
     }
 
-    /** Takes over what may change while a relay runs. */
+    /** Applies those settings that may change while a relay runs. */
     void applySettings(RelaySettings read) {
         settings = settings.takeOver(read);
         RelaySettings.Bounds bounds = settings.bounds();
-        allowances
+        retryBudgets
                 .values()
-                .forEach(allowance -> allowance.update(bounds.retryRatio() * RATIO_USED, bounds.retryExtra()));
+                .forEach(budget -> budget.update(bounds.retryRatio() * USED_RATIO_SHARE, bounds.retryExtra()));
     }
 
-    /** Returns a hash of this relay's name, by which it orders engines that are about as busy. */
+    /** Returns a hash of this relay's name, which orders engines that are about equally loaded. */
     long relayHash() {
         return relayHash;
     }
@@ -126,22 +126,22 @@
         return connector;
     }
 
-    /** Returns what gathers news of work for the other relays. */
+    /** Returns the broadcaster of new placements to peers. */
     PlacementBroadcaster placementBroadcaster() {
         return placementBroadcaster;
     }
 
-    /** Returns what gathers news of fetches for the other relays. */
+    /** Returns the recorder of fetch lateness for load reports. */
     FetchLatenessRecorder fetchLateness() {
         return fetchLateness;
     }
 
-    /** Returns what tells ends of targets. */
+    /** Returns the detector of crashed targets. */
     CrashDetector crashDetector() {
         return crashDetector;
     }
 
-    /** Returns what is held against requests. */
+    /** Returns the suspected and quarantined requests. */
     Quarantine quarantine() {
         return quarantine;
     }
@@ -170,8 +170,8 @@
         return configuration;
     }
 
-    /** Takes a configuration unless it is older than the one in force. */
-    boolean configure(ServingConfiguration newest) {
+    /** Applies a configuration, unless it isn't newer than the one in force; returns whether it was applied. */
+    boolean updateConfiguration(ServingConfiguration newest) {
         if (configuration.isPresent() && configuration.get().version() >= newest.version()) {
             return false;
         }
@@ -184,75 +184,75 @@
         return configuration.map(ServingConfiguration::limits).orElse(CallerLimits.BEFORE_CONFIGURATION);
     }
 
-    /** Returns the versions of weights that were named. */
+    /** Returns the desired versions of weights. */
     DesiredVersions weights() {
         return weights;
     }
 
-    /** Returns the line of a service's requests that wait for an engine. */
+    /** Returns the queue of a service's requests that wait for an engine. */
     HoldingQueue<Exchange> holdingQueue(String service) {
-        return lines.computeIfAbsent(service, unseen -> new HoldingQueue<>());
+        return holdingQueues.computeIfAbsent(service, unseen -> new HoldingQueue<>());
     }
 
-    /** Lets requests that can't be on time go behind the others, and refuses those that would wait too long. */
+    /** Moves requests that will miss their deadline behind the others, and refuses those that would wait too long. */
     void expireQueue(String service) {
-        HoldingQueue<Exchange> line = holdingQueue(service);
+        HoldingQueue<Exchange> queue = holdingQueue(service);
         long now = nowMillis();
         long allowed =
                 HoldingQueue.maxLateTokens(fleet.activeTargets(service, now).size(), relayCount(now));
-        line.expire(now, allowed).forEach(refused -> refused.request().refuseFromLine());
+        queue.expire(now, allowed).forEach(refused -> refused.request().refuseFromLine());
         dispatchQueued(service);
     }
 
-    /** Sends requests that wait, as far as engines have room. */
+    /** Dispatches a service's queued requests, as far as engines have capacity. */
     void dispatchQueued(String service) {
-        HoldingQueue<Exchange> line = holdingQueue(service);
-        if (line.size() == 0 || !linesBeingDrained.add(service)) {
+        HoldingQueue<Exchange> queue = holdingQueue(service);
+        if (queue.size() == 0 || !scheduledDispatches.add(service)) {
             return;
         }
         loop.execute(() -> {
-            linesBeingDrained.remove(service);
-            line.dispatchWhile(Exchange::placeInWindow);
+            scheduledDispatches.remove(service);
+            queue.dispatchWhile(Exchange::placeInWindow);
         });
     }
 
-    /** Returns how many relays are known, this one included. */
+    /** Returns the number of live relays, including this one. */
     int relayCount(long nowMillis) {
         return 1 + fleet.livePeerCount(nowMillis);
     }
 
-    /** Takes a further send of a service's request from the retry budget; false if none is left. */
+    /** Acquires a retry from a service's budget; returns false if the budget is exhausted. */
     boolean tryAcquireRetry(String service) {
         long now = nowMillis();
         return retryBudget(service).tryAcquire(relayCount(now), now);
     }
 
     WindowedRetryBudget retryBudget(String service) {
-        return allowances.computeIfAbsent(
+        return retryBudgets.computeIfAbsent(
                 service,
                 unseen -> new WindowedRetryBudget(
-                        settings.bounds().retryRatio() * RATIO_USED,
+                        settings.bounds().retryRatio() * USED_RATIO_SHARE,
                         settings.bounds().retryExtra(),
                         settings.bounds().retryWindowMillis()));
     }
 
     boolean isDraining() {
-        return isDraining;
+        return draining;
     }
 
-    /** Returns whether new requests are refused, since they might not end before the process does. */
+    /** Returns whether new requests are refused, since they might not finish before the process exits. */
     boolean isRefusingRequests() {
-        return isDraining && nowMillis() - drainingSince > ShutdownPolicy.callerDrainMillis(graceMillis());
+        return draining && nowMillis() - drainingSince > ShutdownPolicy.callerDrainMillis(graceMillis());
     }
 
-    /** Returns whether a request on the route is still taken. */
+    /** Returns whether a request on the route is still accepted. */
     boolean accepts(ServiceRoute route) {
-        return !isStopping || ShutdownPolicy.accepts(route, nowMillis() - stoppingSince, graceMillis());
+        return !stopping || ShutdownPolicy.accepts(route, nowMillis() - stoppingSince, graceMillis());
     }
 
     /** Returns whether the process was asked to stop. */
     boolean isStopping() {
-        return isStopping;
+        return stopping;
     }
 
     /** Returns when the process was asked to stop. */
@@ -260,20 +260,20 @@
         return stoppingSince;
     }
 
-    /** Notes that the process was asked to stop; it still takes requests until {@link #drain}. */
-    void stop() {
-        isStopping = true;
+    /** Records that the process was asked to stop; requests are still accepted until {@link #startDraining}. */
+    void startStopping() {
+        stopping = true;
         stoppingSince = nowMillis();
-        graceAtStop = settings.bounds().graceMillis();
+        graceMillisAtStop = settings.bounds().graceMillis();
     }
 
-    /** Returns how long the process may take to stop, in ms: what held when it was asked counts until its end. */
+    /** Returns the grace period of the shutdown, in ms; it is fixed once the process was asked to stop. */
     long graceMillis() {
-        return isStopping ? graceAtStop : settings.bounds().graceMillis();
+        return stopping ? graceMillisAtStop : settings.bounds().graceMillis();
     }
 
-    void drain() {
-        isDraining = true;
+    void startDraining() {
+        draining = true;
         drainingSince = nowMillis();
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StatusServer.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StatusServer.java
@@ -15,32 +15,33 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.function.Function;
 
-/** Answers questions about the process itself: readiness, metrics. */
+/** Serves HTTP pages about the process itself: readiness and metrics. */
 final class StatusServer extends ChannelInitializer<Channel> {
-    private static final int LARGEST_QUESTION = 16 * 1024;
+    private static final int MAX_REQUEST_BYTES = 16 * 1024;
 
     private final Function<String, Page> pages;
 
     /**
-     * An answer.
+     * A page.
      *
      * @param status its HTTP status
-     * @param body its text
+     * @param body its content
      */
     record Page(HttpResponseStatus status, byte[] body) {}
 
-    /** Makes a server of pages by path. */
+    /** Creates a server of the pages that the function returns by path. */
     StatusServer(Function<String, Page> pages) {
         this.pages = pages;
     }
 
     @Override
     protected void initChannel(Channel channel) {
-        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LARGEST_QUESTION), new Pages());
+        channel.pipeline()
+                .addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BYTES), new PageHandler());
     }
 
-    /** Answers one question after the other. */
-    private final class Pages extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Handles the requests of a connection. */
+    private final class PageHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             Page page = pages.apply(request.uri());
@@ -57,7 +58,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // Whoever asked has gone or speaks something else; nobody waits for an answer.
+            // The client has disconnected or doesn't speak HTTP, so no answer is expected.
             context.close();
         }
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StepTimer.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StepTimer.java
@@ -5,35 +5,35 @@
 import java.util.concurrent.TimeUnit;
 import org.jboss.logging.Logger;
 
-/** Runs steps later on the event loop, until it is closed; owned by that loop. */
+/** Schedules tasks on the event loop until it is closed; confined to that loop. */
 final class StepTimer implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(StepTimer.class);
 
-    /** How long after a failure a step runs again, in ms: it must neither end nor fill the log. */
-    private static final long AGAIN_MILLIS = 500;
+    /** Delay before a failed task runs again: it must neither stop for good nor flood the log. */
+    private static final long RETRY_MILLIS = 500;
 
     private final EventLoop loop;
-    private ScheduledFuture<?> next;
+    private ScheduledFuture<?> pending;
     private boolean closed;
 
     StepTimer(EventLoop loop) {
         this.loop = loop;
     }
 
-    /** Runs a step after a time in ms, whatever else waits. */
+    /** Runs a step after a delay in ms, in addition to those already scheduled. */
     void later(Runnable step, long millis) {
         schedule(step, millis);
     }
 
-    /** Runs a step after a time in ms, in place of the one that this was last called with. */
-    void next(Runnable step, long millis) {
-        if (next != null) {
-            next.cancel(false);
+    /** Runs a step after a delay in ms, in place of the one last scheduled by this method. */
+    void reschedule(Runnable step, long millis) {
+        if (pending != null) {
+            pending.cancel(false);
         }
-        next = schedule(step, millis);
+        pending = schedule(step, millis);
     }
 
-    /** Runs a step again and again, this long after it has ended. */
+    /** Runs a step repeatedly, with a fixed delay between its runs. */
     void every(Runnable step, long millis) {
         later(
                 () -> {
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Runs a step. One that fails is logged and runs again a while later: the event loop keeps the exception of a timed
-     * task to itself, and steps that schedule their next one themselves would have ended for good.
+     * Runs a step. If it fails, the failure is logged and the step runs again after a delay: the event loop doesn't
+     * report exceptions of scheduled tasks, and a step that schedules its own next run would otherwise never run again.
      */
     private void runUnlessClosed(Runnable step) {
         if (closed) {
@@ -59,7 +59,7 @@
             step.run();
         } catch (RuntimeException failed) {
             LOG.error("event=step_failed cause=" + failed.getClass().getSimpleName(), failed);
-            schedule(step, AGAIN_MILLIS);
+            schedule(step, RETRY_MILLIS);
         }
     }
 
@@ -67,7 +67,7 @@
         return closed;
     }
 
-    /** Steps that still wait are not run any more. */
+    /** Prevents all steps that are still scheduled from running. */
     @Override
     public void close() {
         closed = true;
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/StoreWatch.java
@@ -10,121 +10,123 @@
 import org.rattanrudder.core.parts.StoreUpdate;
 import org.rattanrudder.daemon.relay.port.EngineDialect;
 
-/** Follows what one context store holds, and tells the directory and the other relays. */
+/** Long-polls one context store for changes of its parts, and passes them to the part directory and to peers. */
 final class StoreWatch implements AutoCloseable {
-    /** How long a call waits for changes, in ms; short enough that what is known stays fresh between two answers. */
-    private static final long WAIT_MILLIS = 400;
+    /** The wait of a long poll, short enough that the directory stays fresh between two answers. */
+    private static final long POLL_WAIT_MILLIS = 400;
 
-    /** The shortest wait that stores don't charge for, in ms; used to catch up on what was missed. */
-    private static final long CATCH_UP_MILLIS = 200;
+    /** The shortest wait that stores don't charge for; used to catch up on missed events. */
+    private static final long CATCH_UP_WAIT_MILLIS = 200;
 
     /**
-     * Events in one message to other relays, some 45 bytes each. Answers hold fewer but at a start, when others ask for
-     * themselves: of several messages one could be lost without a trace.
+     * Limit of events in one message to peers, at some 45 bytes each. Larger updates occur only at a start, when peers
+     * poll the store themselves. They are not split, since the loss of one of several messages would go unnoticed.
      */
-    private static final int TOLD_EVENTS = 300;
+    private static final int MAX_SHARED_EVENTS = 300;
 
     private static final long TIMEOUT_MILLIS = 900;
-    private static final long RETRY_MILLIS = 300;
+    private static final long RETRY_DELAY_MILLIS = 300;
 
-    /** A full listing stalls the store; gaps in the events are made good by one at most so often, in ms. */
-    private static final long LISTING_EVERY_MILLIS = 5_000;
+    /** Minimum interval of full listings, which fill gaps in the events but stall the store. */
+    private static final long MIN_LISTING_INTERVAL_MILLIS = 5_000;
 
     private final RelayState state;
     private final StepTimer timer;
     private final Address address;
-    private final StorePollSchedule duty;
-    private final Consumer<SharedStoreUpdate> tell;
+    private final StorePollSchedule pollSchedule;
+    private final Consumer<SharedStoreUpdate> updateSender;
     private final EngineDialect dialect;
-    private final CallLine line;
+    private final HttpCallClient client;
     private long since;
     private long incarnation = -1;
     private long listedAt = Long.MIN_VALUE / 2;
-    private boolean answering = true;
+    private boolean available = true;
     private boolean behind = true;
 
-    StoreWatch(RelayState state, String self, Address address, Consumer<SharedStoreUpdate> tell) {
+    StoreWatch(RelayState state, String relayId, Address address, Consumer<SharedStoreUpdate> updateSender) {
         this.state = state;
         timer = new StepTimer(state.loop());
-        this.tell = tell;
+        this.updateSender = updateSender;
         this.address = address;
-        duty = new StorePollSchedule(self, address);
+        pollSchedule = new StorePollSchedule(relayId, address);
         dialect = state.platform().engines();
-        line = new CallLine(state.connector(), () -> address);
+        client = new HttpCallClient(state.connector(), () -> address);
     }
 
     void start() {
-        ask();
+        poll();
     }
 
-    private void ask() {
-        if (line.isBusy()) {
+    private void poll() {
+        if (client.isBusy()) {
             return;
         }
         long asked = state.nowMillis();
-        long wait = behind ? CATCH_UP_MILLIS : WAIT_MILLIS;
-        line.call(dialect.pollChanges(since, wait), TIMEOUT_MILLIS, answer -> {
-            Optional<StoreUpdate> news = read(answer, true);
-            if (news.isEmpty()) {
-                lost(answer);
+        long wait = behind ? CATCH_UP_WAIT_MILLIS : POLL_WAIT_MILLIS;
+        client.call(dialect.pollChanges(since, wait), TIMEOUT_MILLIS, answer -> {
+            Optional<StoreUpdate> update = read(answer, true);
+            if (update.isEmpty()) {
+                onUnavailable(answer);
                 return;
             }
-            changed(news.get(), asked);
+            onUpdate(update.get(), asked);
         });
     }
 
-    private void changed(StoreUpdate news, long asked) {
-        regained();
-        boolean restarted = news.incarnation() != incarnation;
+    private void onUpdate(StoreUpdate update, long asked) {
+        onAvailable();
+        boolean restarted = update.incarnation() != incarnation;
         boolean first = incarnation < 0;
-        incarnation = news.incarnation();
+        incarnation = update.incarnation();
         if (restarted && since > 0) {
-            // Events are numbered anew after a restart: those of the old numbers say nothing.
+            // Event numbers restart with the store: offsets of the earlier incarnation are invalid.
             state.log().warn("context_store_restarted", "store", address.toString());
             since = 0;
-            timer.next(this::ask, 0);
+            timer.reschedule(this::poll, 0);
             return;
         }
-        state.directory().applyStoreUpdate(address, news, asked, state.nowMillis());
-        if (news.events().size() <= TOLD_EVENTS) {
-            tell.accept(new SharedStoreUpdate(address, since, news, state.nowMillis() - asked));
+        state.directory().applyStoreUpdate(address, update, asked, state.nowMillis());
+        if (update.events().size() <= MAX_SHARED_EVENTS) {
+            updateSender.accept(new SharedStoreUpdate(address, since, update, state.nowMillis() - asked));
         }
         behind = false;
-        since = news.next();
-        boolean due = state.nowMillis() - listedAt > LISTING_EVERY_MILLIS;
-        if (news.lost() && due && (first || !restarted)) {
+        since = update.next();
+        boolean due = state.nowMillis() - listedAt > MIN_LISTING_INTERVAL_MILLIS;
+        if (update.lost() && due && (first || !restarted)) {
             list();
             return;
         }
-        askLater();
+        schedulePoll();
     }
 
-    /** Takes what another relay was told by the store. */
-    void told(SharedStoreUpdate shared) {
+    /** Applies an update that a peer has received from the store. */
+    void onSharedUpdate(SharedStoreUpdate shared) {
         if (timer.isClosed() || incarnation < 0) {
             return;
         }
         if (shared.update().incarnation() != incarnation || shared.since() > since) {
-            // A restart, or messages that were lost: the store itself knows.
+            // The store has restarted, or messages were lost: poll the store itself.
             behind = true;
-            timer.next(this::ask, 0);
+            timer.reschedule(this::poll, 0);
             return;
         }
-        regained();
+        onAvailable();
         long now = state.nowMillis();
         state.directory().applyStoreUpdate(address, shared.update(), now - shared.ageMillis(), now);
         since = Math.max(since, shared.update().next());
-        askLater();
+        schedulePoll();
     }
 
-    private void askLater() {
-        timer.next(this::ask, behind ? 0 : duty.pollDelayMillis(state.fleet().livePeers(state.nowMillis())));
+    private void schedulePoll() {
+        timer.reschedule(
+                this::poll,
+                behind ? 0 : pollSchedule.pollDelayMillis(state.fleet().livePeers(state.nowMillis())));
     }
 
     private void list() {
         long asked = state.nowMillis();
         listedAt = asked;
-        line.call(dialect.listContents(), TIMEOUT_MILLIS, answer -> {
+        client.call(dialect.listContents(), TIMEOUT_MILLIS, answer -> {
             read(answer, false).ifPresent(all -> {
                 state.directory().applyStoreUpdate(address, all, asked, state.nowMillis());
                 since = all.next();
@@ -136,14 +138,14 @@
                                 "parts",
                                 Integer.toString(all.events().size()));
             });
-            askLater();
+            schedulePoll();
         });
     }
 
-    /** Frees parts that no request reads any more. */
+    /** Evicts parts that no request reads any more. */
     void free(List<PartKey> parts, long inIncarnation) {
-        CallLine freeing = new CallLine(state.connector(), () -> address);
-        freeing.call(dialect.evict(parts, inIncarnation), TIMEOUT_MILLIS, answer -> {
+        HttpCallClient evictionClient = new HttpCallClient(state.connector(), () -> address);
+        evictionClient.call(dialect.evict(parts, inIncarnation), TIMEOUT_MILLIS, answer -> {
             state.log()
                     .info(
                             "parts_freed",
@@ -153,14 +155,14 @@
                             Integer.toString(parts.size()),
                             "answer",
                             answer.toString().startsWith("Answered")
-                                    ? Integer.toString(((CallAnswer.Answered) answer).status())
+                                    ? Integer.toString(((CallResult.Answered) answer).status())
                                     : "none");
-            freeing.close();
+            evictionClient.close();
         });
     }
 
-    private Optional<StoreUpdate> read(CallAnswer answer, boolean changes) {
-        if (!(answer instanceof CallAnswer.Answered answered)) {
+    private Optional<StoreUpdate> read(CallResult answer, boolean changes) {
+        if (!(answer instanceof CallResult.Answered answered)) {
             return Optional.empty();
         }
         try {
@@ -179,30 +181,30 @@
         }
     }
 
-    private void lost(CallAnswer answer) {
-        if (answering) {
-            state.log().warn("context_store_lost", "store", address.toString(), "answer", brief(answer));
+    private void onUnavailable(CallResult answer) {
+        if (available) {
+            state.log().warn("context_store_lost", "store", address.toString(), "answer", describe(answer));
         }
-        answering = false;
-        timer.next(this::ask, RETRY_MILLIS);
+        available = false;
+        timer.reschedule(this::poll, RETRY_DELAY_MILLIS);
     }
 
-    private static String brief(CallAnswer answer) {
-        return answer instanceof CallAnswer.Answered answered
+    private static String describe(CallResult answer) {
+        return answer instanceof CallResult.Answered answered
                 ? "status " + answered.status()
-                : ((CallAnswer.Unanswered) answer).reason();
+                : ((CallResult.Unanswered) answer).reason();
     }
 
-    private void regained() {
-        if (!answering) {
+    private void onAvailable() {
+        if (!available) {
             state.log().info("context_store_regained", "store", address.toString());
         }
-        answering = true;
+        available = true;
     }
 
     @Override
     public void close() {
         timer.close();
-        line.close();
+        client.close();
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TopicFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TopicFollower.java
@@ -12,124 +12,124 @@
 import org.rattanrudder.daemon.relay.port.StoreResponse;
 
 /**
- * Follows a topic of the platform's store: first the newest record of each key, then all that is added.
+ * Consumes a topic of the platform's store: first lists the newest record of each key, then long-polls for new records.
  *
- * <p>When records were dropped before they were read, it lists the newest ones again. When the store doesn't answer, it
- * asks again, less and less often, and tells its listener when answers cease and return.
+ * <p>If the store has discarded records before they were read, the newest ones are listed again. If the store is
+ * unavailable, calls are retried with exponential back-off; the listener is called when the store becomes unavailable
+ * and when it is available again.
  */
 final class TopicFollower implements AutoCloseable {
-    /** How long a listing may take, in ms. */
-    private static final long LISTING_MILLIS = 1_000;
+    private static final long LISTING_TIMEOUT_MILLIS = 1_000;
 
-    /** What an answer may take beyond the wait, in ms: a slow store takes some 250 ms. */
-    private static final long SLACK_MILLIS = 700;
+    /** Time that an answer may take beyond the long poll's wait; a slow store takes about 250 ms. */
+    private static final long ANSWER_MARGIN_MILLIS = 700;
 
-    /** How long an answer may be missing that another relay has got, in ms. */
-    private static final long HINT_MILLIS = 600;
+    /** A read pending for longer than this is treated as stalled once a peer has reported a newer record. */
+    private static final long STALLED_READ_MILLIS = 600;
 
-    /** How long a read waits that is known to have something to read, in ms: it is answered at once as a rule. */
-    private static final long EXPECTING_MILLIS = 200;
+    /** The wait of a long poll while a record is known to be due: such a poll is usually answered at once. */
+    private static final long EXPECTED_RECORD_WAIT_MILLIS = 200;
 
-    /** For how long that is believed, in ms: an append without an answer may have written nothing. */
-    private static final long EXPECTED_WITHIN_MILLIS = 5_000;
+    /** How long a record is expected: an append that got no answer may have written nothing. */
+    private static final long MAX_EXPECTATION_MILLIS = 5_000;
 
-    private static final long FIRST_PAUSE_MILLIS = 50;
-    private static final long LONGEST_PAUSE_MILLIS = 800;
+    private static final long MIN_BACKOFF_MILLIS = 50;
+    private static final long MAX_BACKOFF_MILLIS = 800;
 
-    /** Doublings after which the longest pause is reached in any case. */
-    private static final int LARGEST_DOUBLING = 5;
+    /** Limits the shift that doubles the back-off; the maximum is reached by then. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 5;
 
-    /** What a topic's records mean to the relay. */
+    /** Handles a topic's records. */
     interface Listener {
         /**
-         * Takes a record.
+         * Handles a record.
          *
-         * @throws IllegalArgumentException if it can't be read
+         * @throws IllegalArgumentException if the record is malformed
          */
-        void record(KeyedRecord record);
+        void onRecord(KeyedRecord record);
 
         /**
-         * Takes a record that a listing has, which may be old.
+         * Handles a record from a listing, which may be old.
          *
-         * @throws IllegalArgumentException if it can't be read
+         * @throws IllegalArgumentException if the record is malformed
          */
-        default void listedRecord(KeyedRecord record) {
-            record(record);
+        default void onListedRecord(KeyedRecord record) {
+            onRecord(record);
         }
 
-        /** Returns whether of several records of a key only the last readable one matters, in any order of keys. */
-        default boolean newestSuffices() {
+        /** Returns whether only the last well-formed record of each key matters, and the order of keys doesn't. */
+        default boolean needsOnlyNewest() {
             return false;
         }
 
-        /** Takes the keys of a full listing. */
-        default void listed(Set<String> keys, long end) {}
+        /** Handles the end of a complete listing, with the keys in it. */
+        default void onListed(Set<String> keys, long end) {}
 
-        /** The store answers. */
-        default void answered() {}
+        /** Called after each successful answer of the store. */
+        default void onAvailable() {}
 
-        /** The store doesn't answer, or refuses. */
-        default void lost() {}
+        /** Called when the store doesn't answer or refuses a call. */
+        default void onUnavailable() {}
     }
 
     private final RelayState state;
     private final StepTimer timer;
     private final Topic topic;
-    private final Pace pace;
+    private final PollIntervals intervals;
     private final Listener listener;
     private final StoreDialect dialect;
-    private final CallLine line;
+    private final HttpCallClient client;
     private final Set<String> listedKeys = new HashSet<>();
-    private final Reading reading;
-    private long from;
-    private long keptFrom;
+    private final InitialRead reading;
+    private long nextOffset;
+    private long firstRetainedOffset;
     private long listingEnd = -1;
-    private boolean answering = true;
+    private boolean available = true;
     private boolean answeredOnce;
-    private int failuresInARow;
-    private int forgottenInARow;
-    private long calledAt;
-    private boolean following;
-    private boolean inGap;
+    private int consecutiveFailures;
+    private int consecutiveTruncations;
+    private long polledAt;
+    private boolean polling;
+    private boolean betweenPolls;
     private long answeredAt;
-    private long gapEndsAt;
+    private long nextPollAt;
 
-    /** Until when a record is taken to be there that wasn't read yet. */
+    /** Time until which an unread record is expected to exist. */
     private long expectingUntil = Long.MIN_VALUE / 2;
 
-    /** What of a topic is read at first; then follows what is added. */
-    enum Reading {
+    /** Which existing records are read before new ones are polled for. */
+    enum InitialRead {
         /** The newest record of each key. */
         NEWEST,
-        /** All records that are kept, of a topic without keys. */
+        /** All retained records of a topic without keys. */
         KEPT,
-        /** The newest record of each key, then all records that are kept. */
+        /** The newest record of each key, then all retained records. */
         NEWEST_AND_KEPT
     }
 
-    /** Makes a follower; it begins with {@link #start}. */
-    TopicFollower(RelayState state, Topic topic, Pace pace, Reading reading, Listener listener) {
+    /** Creates a follower that is idle until {@link #start}. */
+    TopicFollower(RelayState state, Topic topic, PollIntervals intervals, InitialRead reading, Listener listener) {
         this.state = state;
         timer = new StepTimer(state.loop());
         this.topic = topic;
-        this.pace = pace;
+        this.intervals = intervals;
         this.reading = reading;
         this.listener = listener;
         dialect = state.platform().store();
-        line = new CallLine(state.connector(), state::store);
+        client = new HttpCallClient(state.connector(), state::store);
     }
 
     void start() {
-        inGap = false;
+        betweenPolls = false;
         if (isKeyed()) {
             list(Optional.empty());
         } else {
-            follow();
+            poll();
         }
     }
 
     private boolean isKeyed() {
-        return reading != Reading.KEPT;
+        return reading != InitialRead.KEPT;
     }
 
     private void list(Optional<String> after) {
@@ -138,218 +138,225 @@
             listingEnd = -1;
         }
         PlatformCall call = dialect.list(topic, after);
-        line.call(call, LISTING_MILLIS, answer -> take(answer, (status, body) -> dialect.readListing(status, body)));
+        client.call(
+                call,
+                LISTING_TIMEOUT_MILLIS,
+                answer -> onResult(answer, (status, body) -> dialect.readListing(status, body)));
     }
 
-    private void follow() {
-        if (line.isBusy()) {
+    private void poll() {
+        if (client.isBusy()) {
             return;
         }
-        inGap = false;
-        following = true;
-        long asked = from;
-        calledAt = state.nowMillis();
+        betweenPolls = false;
+        polling = true;
+        long asked = nextOffset;
+        polledAt = state.nowMillis();
         long wait = waitMillis();
-        line.call(
+        client.call(
                 dialect.poll(topic, asked, wait),
-                wait + SLACK_MILLIS,
-                answer -> take(answer, (status, body) -> dialect.readRecords(topic, asked, status, body)));
+                wait + ANSWER_MARGIN_MILLIS,
+                answer -> onResult(answer, (status, body) -> dialect.readRecords(topic, asked, status, body)));
     }
 
     private long waitMillis() {
         if (!answeredOnce) {
-            // In a topic without records the answer would come when the wait is over.
+            // If the topic has no records, the first answer would come only after the full wait.
             return 0;
         }
-        long usual = pace.waitMillis().applyAsLong(state.fleet().livePeerCount(calledAt));
-        return calledAt < expectingUntil ? Math.min(usual, EXPECTING_MILLIS) : usual;
+        long usual = intervals.waitMillis().applyAsLong(state.fleet().livePeerCount(polledAt));
+        return polledAt < expectingUntil ? Math.min(usual, EXPECTED_RECORD_WAIT_MILLIS) : usual;
     }
 
-    /** Reads the body of an answer. */
-    private interface Reader {
-        StoreResponse read(int status, byte[] body);
+    /** Parses the body of an answer. */
+    private interface AnswerParser {
+        StoreResponse parse(int status, byte[] body);
     }
 
-    private void take(CallAnswer answer, Reader reader) {
-        following = false;
+    private void onResult(CallResult answer, AnswerParser parser) {
+        polling = false;
         if (timer.isClosed()) {
             return;
         }
-        state.metrics().storeCall(topic.name());
-        if (answer instanceof CallAnswer.Unanswered unanswered) {
-            failed(unanswered.reason());
+        state.metrics().recordStoreCall(topic.name());
+        if (answer instanceof CallResult.Unanswered unanswered) {
+            onFailure(unanswered.reason());
             return;
         }
-        CallAnswer.Answered answered = (CallAnswer.Answered) answer;
+        CallResult.Answered answered = (CallResult.Answered) answer;
         StoreResponse read;
         try {
-            read = reader.read(answered.status(), answered.body());
+            read = parser.parse(answered.status(), answered.body());
         } catch (IllegalArgumentException malformed) {
-            failed("malformed: " + malformed.getMessage());
+            onFailure("malformed: " + malformed.getMessage());
             return;
         }
         if (read instanceof StoreResponse.Failed failed) {
-            failed("status " + failed.status());
+            onFailure("status " + failed.status());
             return;
         }
-        works();
-        proceed(read);
+        onSuccess();
+        handle(read);
     }
 
-    private void proceed(StoreResponse read) {
+    private void handle(StoreResponse read) {
         if (read instanceof StoreResponse.Listing listing) {
-            listing(listing);
+            onListing(listing);
         } else if (read instanceof StoreResponse.Records records) {
-            forgottenInARow = 0;
-            from = records.next();
+            consecutiveTruncations = 0;
+            nextOffset = records.next();
             if (!records.records().isEmpty()) {
-                expectingUntil = calledAt;
+                expectingUntil = polledAt;
             }
-            tellAll(records.records());
-            inGap = true;
+            deliverAll(records.records());
+            betweenPolls = true;
             answeredAt = state.nowMillis();
-            long gap = gap();
-            gapEndsAt = answeredAt + gap;
-            timer.next(this::follow, gap);
+            long gap = gapMillis();
+            nextPollAt = answeredAt + gap;
+            timer.reschedule(this::poll, gap);
         } else if (read instanceof StoreResponse.Forgotten forgotten) {
-            forgotten(forgotten);
+            onTruncated(forgotten);
         }
     }
 
-    private void tellAll(List<KeyedRecord> records) {
-        if (listener.newestSuffices()) {
-            tellNewest(records);
+    private void deliverAll(List<KeyedRecord> records) {
+        if (listener.needsOnlyNewest()) {
+            deliverNewest(records);
         } else {
-            records.forEach(record -> tell(record, listener::record));
+            records.forEach(record -> deliver(record, listener::onRecord));
         }
     }
 
     /**
-     * Tells of each key the last record that can be read. After a pause, or while changes come in quick succession, one
-     * answer holds many of one key, and reading each in full would hold up requests.
+     * Delivers the last well-formed record of each key. After a pause, or during a burst of changes, one answer may
+     * hold many records of the same key, and parsing each of them would block the event loop and delay requests.
      */
-    private void tellNewest(List<KeyedRecord> records) {
-        Set<String> told = new HashSet<>();
+    private void deliverNewest(List<KeyedRecord> records) {
+        Set<String> delivered = new HashSet<>();
         for (int index = records.size() - 1; index >= 0; index--) {
             KeyedRecord record = records.get(index);
-            if (!told.contains(record.key()) && tell(record, listener::record)) {
-                told.add(record.key());
+            if (!delivered.contains(record.key()) && deliver(record, listener::onRecord)) {
+                delivered.add(record.key());
             }
         }
     }
 
     /**
-     * Records were dropped before they were read. A store that goes on dropping what it has just listed would be asked
-     * without end, fifty times a second by each relay; the time between two listings therefore doubles.
+     * Restarts with a new listing after the store has discarded unread records. If the store keeps discarding what it
+     * has just listed, each relay would list fifty times a second without end, so the delay between listings doubles.
      */
-    private void forgotten(StoreResponse.Forgotten forgotten) {
+    private void onTruncated(StoreResponse.Forgotten forgotten) {
         state.log()
                 .warn(
                         "records_forgotten",
                         "topic",
                         topic.name(),
                         "from",
-                        Long.toString(from),
+                        Long.toString(nextOffset),
                         "first",
                         forgotten.first().isPresent()
                                 ? Long.toString(forgotten.first().getAsLong())
                                 : "unknown",
                         "in_a_row",
-                        Integer.toString(forgottenInARow + 1));
+                        Integer.toString(consecutiveTruncations + 1));
         if (!isKeyed()) {
-            // A topic without keys says nothing that is older than what it keeps.
-            from = Math.max(from + 1, forgotten.first().orElse(0));
+            // Without keys there is no listing to catch up from: continue at the first retained record.
+            nextOffset = Math.max(nextOffset + 1, forgotten.first().orElse(0));
         }
-        keptFrom = forgotten.first().orElse(Long.MAX_VALUE);
-        timer.next(this::start, forgottenInARow == 0 ? 0 : Math.max(gap(), pause(forgottenInARow - 1)));
-        forgottenInARow++;
+        firstRetainedOffset = forgotten.first().orElse(Long.MAX_VALUE);
+        timer.reschedule(
+                this::start,
+                consecutiveTruncations == 0 ? 0 : Math.max(gapMillis(), backoffMillis(consecutiveTruncations - 1)));
+        consecutiveTruncations++;
     }
 
-    /** Returns the pause after so many failures in a row, in ms. */
-    private static long pause(int failures) {
-        return Math.min(LONGEST_PAUSE_MILLIS, FIRST_PAUSE_MILLIS << Math.min(failures, LARGEST_DOUBLING));
+    /** Returns the back-off after this many consecutive failures, in ms. */
+    private static long backoffMillis(int failures) {
+        return Math.min(MAX_BACKOFF_MILLIS, MIN_BACKOFF_MILLIS << Math.min(failures, MAX_BACKOFF_DOUBLINGS));
     }
 
-    private long gap() {
-        return pace.gapMillis().applyAsLong(state.fleet().livePeerCount(state.nowMillis()));
+    private long gapMillis() {
+        return intervals.gapMillis().applyAsLong(state.fleet().livePeerCount(state.nowMillis()));
     }
 
     /**
-     * Another relay has read a record that wasn't read here. The next call is made at once; one that is under way for
-     * longer than an answer takes is on a connection that fell silent.
+     * Handles the read offset of a peer. If the peer has read a record that was not read here, the next poll is brought
+     * forward. A poll that has been pending for longer than an answer takes is on an unresponsive connection, and is
+     * repeated on a new one.
      *
-     * <p>It shortens the gap between two reads and nothing else. Hints come many times a second from each of many
-     * relays. When they also cut short the pause after a failure, a store that turned this machine away got a call for
-     * each; and when they took the place of a listing that records had been forgotten for, the relay read what was
-     * gone again and again, and never learnt of a newer configuration.
+     * <p>Only the gap between two polls is shortened, since every peer reports its offset many times a second. If
+     * reports also cut the back-off after a failure short, a store that refuses this relay would get a call for each
+     * report. If they replaced a pending listing, the relay would poll discarded records again and again, and would
+     * never receive a newer configuration.
      */
-    void hint(long readTo) {
-        if (timer.isClosed() || readTo <= from || !answeredOnce) {
+    void onPeerOffset(long peerOffset) {
+        if (timer.isClosed() || peerOffset <= nextOffset || !answeredOnce) {
             return;
         }
-        if (inGap) {
+        if (betweenPolls) {
             long now = state.nowMillis();
-            long wanted = Pace.hintedGapMillis(state.fleet().livePeerCount(now));
-            timer.next(this::follow, Math.max(0, Math.min(gapEndsAt, answeredAt + wanted) - now));
-        } else if (following && state.nowMillis() - calledAt > HINT_MILLIS) {
+            long wanted = PollIntervals.hintedGapMillis(state.fleet().livePeerCount(now));
+            timer.reschedule(this::poll, Math.max(0, Math.min(nextPollAt, answeredAt + wanted) - now));
+        } else if (polling && state.nowMillis() - polledAt > STALLED_READ_MILLIS) {
             state.log()
                     .warn(
                             "store_connection_silent",
                             "topic",
                             topic.name(),
                             "from",
-                            Long.toString(from),
+                            Long.toString(nextOffset),
                             "others_read",
-                            Long.toString(readTo));
-            readInPlaceOfWaiting();
+                            Long.toString(peerOffset));
+            pollNow();
         }
     }
 
-    /** Ends the gap between two reads, or a read that waits; what else is due is left alone. */
-    private void readInPlaceOfWaiting() {
-        if (inGap) {
-            timer.next(this::follow, 0);
-        } else if (following) {
-            line.close();
-            follow();
+    /** Polls at once if a poll is scheduled or pending; a pending back-off or listing is left as it is. */
+    private void pollNow() {
+        if (betweenPolls) {
+            timer.reschedule(this::poll, 0);
+        } else if (polling) {
+            client.close();
+            poll();
         }
     }
 
     /**
-     * Reads at once, and again soon until a record comes: the store said that there is something which wasn't read. A
-     * read that began to wait while it was written may not be answered for it before its wait is over, and it may
-     * still be being written now. Two relays that had lost a race for the lease waited 12 s for the record that won
-     * it, and no engine got new weights meanwhile.
+     * Polls at once, and with short waits until a record arrives, since the store has indicated an unread record. A
+     * long poll that began while the record was being written may not return it before its wait is over, and the write
+     * may still be in progress. Otherwise two relays that lost a race for the lease would wait 12 s for the winner's
+     * record, and no engine would get new weights in the meantime.
      */
-    void readNow() {
-        expectingUntil = state.nowMillis() + EXPECTED_WITHIN_MILLIS;
-        readInPlaceOfWaiting();
+    void expectRecord() {
+        expectingUntil = state.nowMillis() + MAX_EXPECTATION_MILLIS;
+        pollNow();
     }
 
-    /** The store has another address: what waits for an answer at the old one is given up, and the newest is listed. */
+    /** Cancels the pending call and lists again, after the store's address has changed. */
     void reconnect() {
-        line.close();
-        following = false;
-        timer.next(this::start, 0);
+        client.close();
+        polling = false;
+        timer.reschedule(this::start, 0);
     }
 
-    private void listing(StoreResponse.Listing listing) {
-        // Pages are no snapshot: what changes meanwhile stands after the first page's end.
+    private void onListing(StoreResponse.Listing listing) {
+        // Pages aren't a snapshot: records written between pages have offsets after the first page's end.
         listingEnd = listingEnd < 0 ? listing.end() : Math.min(listingEnd, listing.end());
         String last = "";
         for (KeyedRecord record : listing.records()) {
             listedKeys.add(record.key());
-            tell(record, listener::listedRecord);
+            deliver(record, listener::onListedRecord);
             last = record.key();
         }
         if (listing.morePages() && !last.isEmpty()) {
             list(Optional.of(last));
             return;
         }
-        // A listing that ends before what was read already is a stale one: it proves nothing of what it lacks.
-        if (listingEnd >= from) {
-            listener.listed(Set.copyOf(listedKeys), listingEnd);
-            from = reading == Reading.NEWEST_AND_KEPT ? Math.min(keptFrom, listingEnd) : listingEnd;
+        // A listing that ends before the read offset is stale: a key that is missing from it may still exist.
+        if (listingEnd >= nextOffset) {
+            listener.onListed(Set.copyOf(listedKeys), listingEnd);
+            nextOffset =
+                    reading == InitialRead.NEWEST_AND_KEPT ? Math.min(firstRetainedOffset, listingEnd) : listingEnd;
         }
         state.log()
                 .info(
@@ -360,19 +367,19 @@
                         Integer.toString(listedKeys.size()),
                         "end",
                         Long.toString(listingEnd));
-        follow();
+        poll();
     }
 
-    /** Tells of a record, and returns whether it could be read. */
-    private boolean tell(KeyedRecord record, Consumer<KeyedRecord> taker) {
+    /** Passes a record to the handler, and returns whether it was well-formed. */
+    private boolean deliver(KeyedRecord record, Consumer<KeyedRecord> handler) {
         try {
             if (isKeyed() && record.key().isEmpty()) {
                 throw new IllegalArgumentException("no key");
             }
-            taker.accept(record);
+            handler.accept(record);
             return true;
         } catch (IllegalArgumentException unreadable) {
-            state.metrics().unreadable(topic.name());
+            state.metrics().recordUnreadable(topic.name());
             state.log()
                     .warn(
                             "record_unreadable",
@@ -388,35 +395,35 @@
         }
     }
 
-    private void works() {
-        failuresInARow = 0;
-        if (!answering || !answeredOnce) {
+    private void onSuccess() {
+        consecutiveFailures = 0;
+        if (!available || !answeredOnce) {
             state.log().info("store_regained", "topic", topic.name());
         }
-        answering = true;
+        available = true;
         answeredOnce = true;
-        listener.answered();
+        listener.onAvailable();
     }
 
-    private void failed(String reason) {
-        if (answering) {
+    private void onFailure(String reason) {
+        if (available) {
             state.log().warn("store_lost", "topic", topic.name(), "reason", reason);
         }
-        answering = false;
-        listener.lost();
-        long pause = pause(failuresInARow);
-        failuresInARow++;
-        timer.next(answeredOnce && (!isKeyed() || listingEnd >= 0) ? this::follow : this::start, pause);
+        available = false;
+        listener.onUnavailable();
+        long pause = backoffMillis(consecutiveFailures);
+        consecutiveFailures++;
+        timer.reschedule(answeredOnce && (!isKeyed() || listingEnd >= 0) ? this::poll : this::start, pause);
     }
 
-    /** Returns the offset up to which the topic was read. */
-    long readTo() {
-        return from;
+    /** Returns the offset up to which the topic has been read. */
+    long readOffset() {
+        return nextOffset;
     }
 
     @Override
     public void close() {
         timer.close();
-        line.close();
+        client.close();
     }
 }
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/KnownTargets.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/KnownTargets.java
@@ -7,11 +7,11 @@
 import org.rattanrudder.core.fleet.TargetRegistration;
 import org.rattanrudder.core.model.Address;
 
-/** Targets as a relay knows them. */
+/** Creates targets for tests. */
 final class KnownTargets {
     private KnownTargets() {}
 
-    /** Returns a target that has just been read of. */
+    /** Returns a target whose registration has just been read. */
     static Target target(String id, Map<String, Long> weights, long nowMillis) {
         Fleet fleet = new Fleet();
         fleet.apply(
