--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -155,7 +155,7 @@
                             settings.platform().log(),
                             stream,
                             this,
-                            LogFollower.Watch.writing(log))
+                            LogFollower.AvailabilityListener.writing(log))
                     .poll();
         }
         threads.every(MachineLoop.TICK_MILLIS, () -> loop.offer(new CompanionEvent.Tick()));
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -128,7 +128,7 @@
                         settings.platform().log(),
                         LogStream.CONFIGURATION,
                         this,
-                        LogFollower.Watch.writing(log))
+                        LogFollower.AvailabilityListener.writing(log))
                 .poll();
         InstanceList instances = new InstanceList(
                 threads.caller(),
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
@@ -30,7 +30,7 @@
     private final Address log;
     private final LogStream stream;
     private final Listener listener;
-    private final Watch watch;
+    private final AvailabilityListener watch;
     private long nextOffset = 1;
     private boolean caughtUp;
     private boolean failing;
@@ -45,7 +45,7 @@
     }
 
     /** Notified when reading starts to fail and when it works again. */
-    public interface Watch {
+    public interface AvailabilityListener {
         /** Called for the first of a series of failed reads. */
         void lost(LogStream stream, String reason);
 
@@ -53,8 +53,8 @@
         void regained(LogStream stream);
 
         /** Returns a watch that logs both to the event log. */
-        static Watch writing(EventLog events) {
-            return new Watch() {
+        static AvailabilityListener writing(EventLog events) {
+            return new AvailabilityListener() {
                 @Override
                 public void lost(LogStream stream, String reason) {
                     events.warn("log_lost", "stream", stream.wireName(), "reason", reason);
@@ -84,7 +84,7 @@
             Address log,
             LogStream stream,
             Listener listener,
-            Watch watch) {
+            AvailabilityListener watch) {
         this.caller = caller;
         this.timer = timer;
         this.log = log;
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
@@ -148,7 +148,7 @@
         }
     }
 
-    private record RecordingWatch(BlockingQueue<String> statusChanges) implements LogFollower.Watch {
+    private record RecordingWatch(BlockingQueue<String> statusChanges) implements LogFollower.AvailabilityListener {
         @Override
         public void lost(LogStream stream, String reason) {
             statusChanges.add("lost: " + reason);
