--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
@@ -47,7 +47,7 @@
     /** Notified when reading starts to fail and when it works again. */
     public interface AvailabilityListener {
         /** Called for the first of a series of failed reads. */
-        void lost(LogStream stream, String reason);
+        void onUnavailable(LogStream stream, String reason);
 
         /** Called for the first successful read after a failure. */
         void regained(LogStream stream);
@@ -56,7 +56,7 @@
         static AvailabilityListener writing(EventLog events) {
             return new AvailabilityListener() {
                 @Override
-                public void lost(LogStream stream, String reason) {
+                public void onUnavailable(LogStream stream, String reason) {
                     events.warn("log_lost", "stream", stream.wireName(), "reason", reason);
                 }
 
@@ -144,7 +144,7 @@
     private void onFailure(String reason) {
         if (!failing) {
             failing = true;
-            watch.lost(stream, reason);
+            watch.onUnavailable(stream, reason);
         }
         listener.readFailed(stream);
         timer.schedule(this::poll, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
@@ -150,7 +150,7 @@
 
     private record RecordingWatch(BlockingQueue<String> statusChanges) implements LogFollower.AvailabilityListener {
         @Override
-        public void lost(LogStream stream, String reason) {
+        public void onUnavailable(LogStream stream, String reason) {
             statusChanges.add("lost: " + reason);
         }
 
