--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
@@ -50,7 +50,7 @@
         void onUnavailable(LogStream stream, String reason);
 
         /** Called for the first successful read after a failure. */
-        void regained(LogStream stream);
+        void onAvailable(LogStream stream);
 
         /** Returns a watch that logs both to the event log. */
         static AvailabilityListener writing(EventLog events) {
@@ -61,7 +61,7 @@
                 }
 
                 @Override
-                public void regained(LogStream stream) {
+                public void onAvailable(LogStream stream) {
                     events.info("log_regained", "stream", stream.wireName());
                 }
             };
@@ -136,7 +136,7 @@
         caughtUp = nextOffset >= page.path("next").asLong();
         if (failing) {
             failing = false;
-            watch.regained(stream);
+            watch.onAvailable(stream);
         }
         listener.read(stream, records, caughtUp);
     }
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
@@ -155,7 +155,7 @@
         }
 
         @Override
-        public void regained(LogStream stream) {
+        public void onAvailable(LogStream stream) {
             statusChanges.add("regained");
         }
     }
