--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -155,7 +155,7 @@
                             settings.platform().log(),
                             stream,
                             this,
-                            LogFollower.AvailabilityListener.writing(log))
+                            LogFollower.AvailabilityListener.loggingTo(log))
                     .poll();
         }
         threads.every(MachineLoop.TICK_MILLIS, () -> loop.offer(new CompanionEvent.Tick()));
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -128,7 +128,7 @@
                         settings.platform().log(),
                         LogStream.CONFIGURATION,
                         this,
-                        LogFollower.AvailabilityListener.writing(log))
+                        LogFollower.AvailabilityListener.loggingTo(log))
                 .poll();
         InstanceList instances = new InstanceList(
                 threads.caller(),
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
@@ -53,7 +53,7 @@
         void onAvailable(LogStream stream);
 
         /** Returns a watch that logs both to the event log. */
-        static AvailabilityListener writing(EventLog events) {
+        static AvailabilityListener loggingTo(EventLog events) {
             return new AvailabilityListener() {
                 @Override
                 public void onUnavailable(LogStream stream, String reason) {
