--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -162,7 +162,7 @@
     }
 
     @Override
-    public void read(LogStream stream, List<LogRecord> records, boolean caughtUp) {
+    public void onRecords(LogStream stream, List<LogRecord> records, boolean caughtUp) {
         loop.publish(new CompanionEvent.LogRead(stream, records, caughtUp));
         if (stream == LogStream.CONFIGURATION && caughtUp) {
             health.ready(true);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void read(LogStream stream, List<LogRecord> records, boolean caughtUp) {
+    public void onRecords(LogStream stream, List<LogRecord> records, boolean caughtUp) {
         loop.publish(new EntryEvent.LogRead(stream, records, caughtUp));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
@@ -38,7 +38,7 @@
     /** Receives the records that were read. */
     public interface Listener {
         /** Called for each page; the list is empty if there were no new records for a while. */
-        void read(LogStream stream, List<LogRecord> records, boolean caughtUp);
+        void onRecords(LogStream stream, List<LogRecord> records, boolean caughtUp);
 
         /** Called after a failed read, which is retried. */
         void readFailed(LogStream stream);
@@ -138,7 +138,7 @@
             failing = false;
             watch.onAvailable(stream);
         }
-        listener.read(stream, records, caughtUp);
+        listener.onRecords(stream, records, caughtUp);
     }
 
     private void onFailure(String reason) {
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
@@ -138,7 +138,7 @@
 
     private record RecordingListener(BlockingQueue<String> reads) implements LogFollower.Listener {
         @Override
-        public void read(LogStream stream, List<LogRecord> records, boolean caughtUp) {
+        public void onRecords(LogStream stream, List<LogRecord> records, boolean caughtUp) {
             reads.add(records.stream().map(LogRecord::offset).toList() + " " + caughtUp);
         }
 
