--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -170,7 +170,7 @@
     }
 
     @Override
-    public void readFailed(LogStream stream) {
+    public void onReadFailed(LogStream stream) {
         loop.publish(new CompanionEvent.LogReadFailed(stream));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public void readFailed(LogStream stream) {
+    public void onReadFailed(LogStream stream) {
         loop.publish(new EntryEvent.LogReadFailed(stream));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
@@ -41,7 +41,7 @@
         void onRecords(LogStream stream, List<LogRecord> records, boolean caughtUp);
 
         /** Called after a failed read, which is retried. */
-        void readFailed(LogStream stream);
+        void onReadFailed(LogStream stream);
     }
 
     /** Notified when reading starts to fail and when it works again. */
@@ -146,7 +146,7 @@
             failing = true;
             watch.onUnavailable(stream, reason);
         }
-        listener.readFailed(stream);
+        listener.onReadFailed(stream);
         timer.schedule(this::poll, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
@@ -143,7 +143,7 @@
         }
 
         @Override
-        public void readFailed(LogStream stream) {
+        public void onReadFailed(LogStream stream) {
             reads.add("failed");
         }
     }
