--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -134,7 +134,7 @@
                 threads.caller(),
                 settings.platform().instances(),
                 listed -> loop.publish(new EntryEvent.InstancesListed(listed)));
-        threads.every(InstanceList.PERIOD_MILLIS, instances::poll);
+        threads.every(InstanceList.POLL_INTERVAL_MILLIS, instances::poll);
         threads.every(MachineLoop.TICK_MILLIS, () -> loop.offer(new EntryEvent.Tick()));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/InstanceList.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/InstanceList.java
@@ -15,7 +15,7 @@
 /** Polls the platform's list of instances, which lags behind their actual state. */
 public final class InstanceList {
     /** The polling interval; a shorter one gains nothing, since the list lags by more than that. */
-    public static final long PERIOD_MILLIS = 2_000;
+    public static final long POLL_INTERVAL_MILLIS = 2_000;
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
