--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -30,7 +30,7 @@
 import org.rattanrudder.daemon.loop.ProcessThreads;
 import org.rattanrudder.daemon.loop.RunningProcess;
 import org.rattanrudder.daemon.metrics.EntryMetrics;
-import org.rattanrudder.daemon.platform.InstanceList;
+import org.rattanrudder.daemon.platform.InstanceListReader;
 import org.rattanrudder.daemon.platform.LogAppender;
 import org.rattanrudder.daemon.platform.LogFollower;
 import org.rattanrudder.document.ProcessSettings;
@@ -130,11 +130,11 @@
                         this,
                         LogFollower.AvailabilityListener.loggingTo(log))
                 .poll();
-        InstanceList instances = new InstanceList(
+        InstanceListReader instances = new InstanceListReader(
                 threads.caller(),
                 settings.platform().instances(),
                 listed -> loop.publish(new EntryEvent.InstancesListed(listed)));
-        threads.every(InstanceList.POLL_INTERVAL_MILLIS, instances::poll);
+        threads.every(InstanceListReader.POLL_INTERVAL_MILLIS, instances::poll);
         threads.every(MachineLoop.TICK_MILLIS, () -> loop.offer(new EntryEvent.Tick()));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/InstanceList.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/InstanceListReader.java
@@ -13,7 +13,7 @@
 import org.rattanrudder.wire.http.HttpResult;
 
 /** Polls the platform's list of instances, which lags behind their actual state. */
-public final class InstanceList {
+public final class InstanceListReader {
     /** The polling interval; a shorter one gains nothing, since the list lags by more than that. */
     public static final long POLL_INTERVAL_MILLIS = 2_000;
 
@@ -30,7 +30,7 @@
      * @param address the address of the service that serves the list
      * @param listener receives each list; not called if the list can't be read, so that the last one stays valid
      */
-    public InstanceList(HttpCaller caller, Address address, Consumer<List<EntryEvent.ListedInstance>> listener) {
+    public InstanceListReader(HttpCaller caller, Address address, Consumer<List<EntryEvent.ListedInstance>> listener) {
         this.caller = caller;
         this.address = address;
         this.listener = listener;
