--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -27,10 +27,10 @@
 import org.rattanrudder.daemon.logging.EventLog;
 import org.rattanrudder.daemon.loop.Closer;
 import org.rattanrudder.daemon.loop.Drain;
-import org.rattanrudder.daemon.loop.MachineLoop;
 import org.rattanrudder.daemon.loop.MonotonicClock;
 import org.rattanrudder.daemon.loop.ProcessThreads;
 import org.rattanrudder.daemon.loop.RunningProcess;
+import org.rattanrudder.daemon.loop.StateMachineLoop;
 import org.rattanrudder.daemon.metrics.CompanionMetrics;
 import org.rattanrudder.daemon.platform.LogAppender;
 import org.rattanrudder.daemon.platform.LogFollower;
@@ -49,7 +49,7 @@
     private final Drain drain = new Drain();
     private final CompanionMetrics metrics;
     private final EventLog log;
-    private final MachineLoop<CompanionEvent, CompanionEffect> loop;
+    private final StateMachineLoop<CompanionEvent, CompanionEffect> loop;
     private final EntryLinks links;
     private final HttpServer server;
 
@@ -72,7 +72,7 @@
                 new CompanionSettings(settings.instance(), incarnation, advertised, settings.failureDomain(), release);
         CompanionMachine machine =
                 new CompanionMachine(identity, new ServiceDocumentParser(), new SplittableRandom(incarnation));
-        loop = new MachineLoop<>(counting(machine), clock, MachineLoop.RING_SIZE);
+        loop = new StateMachineLoop<>(counting(machine), clock, StateMachineLoop.RING_SIZE);
         links = new EntryLinks(loop, log);
         try {
             ProcessThreads threads = closer.add(ProcessThreads.start(HTTP_THREADS));
@@ -158,7 +158,7 @@
                             LogFollower.AvailabilityListener.loggingTo(log))
                     .poll();
         }
-        threads.every(MachineLoop.TICK_MILLIS, () -> loop.offer(new CompanionEvent.Tick()));
+        threads.every(StateMachineLoop.TICK_MILLIS, () -> loop.offer(new CompanionEvent.Tick()));
     }
 
     @Override
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/EntryLinks.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/EntryLinks.java
@@ -7,7 +7,7 @@
 import org.rattanrudder.core.companion.CompanionEvent;
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.daemon.logging.EventLog;
-import org.rattanrudder.daemon.loop.MachineLoop;
+import org.rattanrudder.daemon.loop.StateMachineLoop;
 import org.rattanrudder.wire.link.Link;
 import org.rattanrudder.wire.link.LinkListener;
 import org.rattanrudder.wire.link.LinkTraffic;
@@ -17,11 +17,11 @@
     private final Map<Long, Link> byNumber = new ConcurrentHashMap<>();
     private final Map<Link, Long> numbers = new ConcurrentHashMap<>();
     private final AtomicLong lastNumber = new AtomicLong();
-    private final MachineLoop<CompanionEvent, CompanionEffect> loop;
+    private final StateMachineLoop<CompanionEvent, CompanionEffect> loop;
     private final EventLog log;
     private final LinkTraffic traffic = new LinkTraffic();
 
-    EntryLinks(MachineLoop<CompanionEvent, CompanionEffect> loop, EventLog log) {
+    EntryLinks(StateMachineLoop<CompanionEvent, CompanionEffect> loop, EventLog log) {
         this.loop = loop;
         this.log = log;
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/TargetCalls.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/TargetCalls.java
@@ -11,7 +11,7 @@
 import org.rattanrudder.core.companion.CompanionEvent;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.AttemptId;
-import org.rattanrudder.daemon.loop.MachineLoop;
+import org.rattanrudder.daemon.loop.StateMachineLoop;
 import org.rattanrudder.wire.http.HttpCaller;
 import org.rattanrudder.wire.http.HttpRequest;
 import org.rattanrudder.wire.http.HttpTimeouts;
@@ -25,9 +25,9 @@
 
     private final Map<AttemptId, Running> running = new ConcurrentHashMap<>();
     private final HttpCaller caller;
-    private final MachineLoop<CompanionEvent, CompanionEffect> loop;
+    private final StateMachineLoop<CompanionEvent, CompanionEffect> loop;
 
-    TargetCalls(HttpCaller caller, MachineLoop<CompanionEvent, CompanionEffect> loop) {
+    TargetCalls(HttpCaller caller, StateMachineLoop<CompanionEvent, CompanionEffect> loop) {
         this.caller = caller;
         this.loop = loop;
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/TargetWatches.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/TargetWatches.java
@@ -6,7 +6,7 @@
 import org.rattanrudder.core.companion.CompanionEffect;
 import org.rattanrudder.core.companion.CompanionEvent;
 import org.rattanrudder.core.model.TargetName;
-import org.rattanrudder.daemon.loop.MachineLoop;
+import org.rattanrudder.daemon.loop.StateMachineLoop;
 import org.rattanrudder.wire.http.HttpCaller;
 
 /** The watches of a companion's targets; belongs to the handler thread. */
@@ -14,10 +14,10 @@
     private final Map<TargetName, TargetWatch> watches = new HashMap<>();
     private final HttpCaller caller;
     private final ScheduledExecutorService timer;
-    private final MachineLoop<CompanionEvent, CompanionEffect> loop;
+    private final StateMachineLoop<CompanionEvent, CompanionEffect> loop;
 
     TargetWatches(
-            HttpCaller caller, ScheduledExecutorService timer, MachineLoop<CompanionEvent, CompanionEffect> loop) {
+            HttpCaller caller, ScheduledExecutorService timer, StateMachineLoop<CompanionEvent, CompanionEffect> loop) {
         this.caller = caller;
         this.timer = timer;
         this.loop = loop;
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/CompanionLinks.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/CompanionLinks.java
@@ -10,7 +10,7 @@
 import org.rattanrudder.core.frame.Frame;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.daemon.logging.EventLog;
-import org.rattanrudder.daemon.loop.MachineLoop;
+import org.rattanrudder.daemon.loop.StateMachineLoop;
 import org.rattanrudder.wire.link.Link;
 import org.rattanrudder.wire.link.LinkClient;
 import org.rattanrudder.wire.link.LinkListener;
@@ -20,13 +20,14 @@
 /** The entry's links to companions. The map belongs to the handler thread. */
 final class CompanionLinks implements LinkListener {
     private final Map<Address, Link> links = new HashMap<>();
-    private final MachineLoop<EntryEvent, EntryEffect> loop;
+    private final StateMachineLoop<EntryEvent, EntryEffect> loop;
     private final LinkClient client;
     private final EventLog log;
     private final Set<Link> up = ConcurrentHashMap.newKeySet();
     private final LinkTraffic traffic = new LinkTraffic();
 
-    CompanionLinks(EventLoopGroup group, Frame.Hello hello, MachineLoop<EntryEvent, EntryEffect> loop, EventLog log) {
+    CompanionLinks(
+            EventLoopGroup group, Frame.Hello hello, StateMachineLoop<EntryEvent, EntryEffect> loop, EventLog log) {
         this.loop = loop;
         this.log = log;
         this.client = new LinkClient(group, hello, LinkSettings.DEFAULT, traffic, this);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -25,10 +25,10 @@
 import org.rattanrudder.daemon.logging.EventLog;
 import org.rattanrudder.daemon.loop.Closer;
 import org.rattanrudder.daemon.loop.Drain;
-import org.rattanrudder.daemon.loop.MachineLoop;
 import org.rattanrudder.daemon.loop.MonotonicClock;
 import org.rattanrudder.daemon.loop.ProcessThreads;
 import org.rattanrudder.daemon.loop.RunningProcess;
+import org.rattanrudder.daemon.loop.StateMachineLoop;
 import org.rattanrudder.daemon.metrics.EntryMetrics;
 import org.rattanrudder.daemon.platform.InstanceListReader;
 import org.rattanrudder.daemon.platform.LogAppender;
@@ -49,7 +49,7 @@
     private final Drain drain = new Drain();
     private final EventLog log;
     private final EntryMachine machine;
-    private final MachineLoop<EntryEvent, EntryEffect> loop;
+    private final StateMachineLoop<EntryEvent, EntryEffect> loop;
     private final Callers callers;
     private final CompanionLinks links;
     private final HttpServer server;
@@ -69,7 +69,7 @@
         EntrySettings identity = new EntrySettings(
                 settings.instance(), incarnation, settings.failureDomain(), release, settings.peers());
         machine = new EntryMachine(identity, new ServiceDocumentParser(), new SplittableRandom(incarnation));
-        loop = new MachineLoop<EntryEvent, EntryEffect>(this::handle, clock, MachineLoop.RING_SIZE);
+        loop = new StateMachineLoop<EntryEvent, EntryEffect>(this::handle, clock, StateMachineLoop.RING_SIZE);
         callers = new Callers(loop::publish);
         try {
             ProcessThreads threads = closer.add(ProcessThreads.start(HTTP_THREADS));
@@ -135,7 +135,7 @@
                 settings.platform().instances(),
                 listed -> loop.publish(new EntryEvent.InstancesListed(listed)));
         threads.every(InstanceListReader.POLL_INTERVAL_MILLIS, instances::poll);
-        threads.every(MachineLoop.TICK_MILLIS, () -> loop.offer(new EntryEvent.Tick()));
+        threads.every(StateMachineLoop.TICK_MILLIS, () -> loop.offer(new EntryEvent.Tick()));
     }
 
     /** Gives an event to the machine, and takes out what I/O threads may know of it; on the handler thread. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/MachineLoop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/StateMachineLoop.java
@@ -30,13 +30,13 @@
  * @param <V> the state machine's events
  * @param <F> the state machine's effects
  */
-public final class MachineLoop<V, F> implements AutoCloseable {
+public final class StateMachineLoop<V, F> implements AutoCloseable {
     /** The capacity of a process's ring buffer, in events. */
     public static final int RING_SIZE = 4_096;
     /** The interval at which a process publishes ticks. */
     public static final long TICK_MILLIS = 50;
 
-    private static final Logger LOG = Logger.getLogger(MachineLoop.class);
+    private static final Logger LOG = Logger.getLogger(StateMachineLoop.class);
     private static final long CLOSE_TIMEOUT_SECONDS = 2;
     private static final BooleanSupplier ALWAYS = () -> true;
 
@@ -55,7 +55,7 @@
      * @param clock the state machine's clock, in microseconds
      * @param ringSize the capacity in events, a power of two
      */
-    public MachineLoop(StateMachine<V, F> machine, LongSupplier clock, int ringSize) {
+    public StateMachineLoop(StateMachine<V, F> machine, LongSupplier clock, int ringSize) {
         this.machine = machine;
         this.clock = clock;
         // The blocking strategy costs a wake-up when an event arrives at an idle handler, but uses no CPU while idle;
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/loop/MachineLoopTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/loop/MachineLoopTest.java
@@ -19,13 +19,13 @@
         return executed.poll(SECONDS, TimeUnit.SECONDS);
     }
 
-    private static MachineLoop<String, String> loop(StateMachine<String, String> machine, int ringSize) {
-        return new MachineLoop<>(machine, new MonotonicClock(), ringSize);
+    private static StateMachineLoop<String, String> loop(StateMachine<String, String> machine, int ringSize) {
+        return new StateMachineLoop<>(machine, new MonotonicClock(), ringSize);
     }
 
     @Test
     void eventsAreHandledInTheOrderOfPublication() throws Exception {
-        try (MachineLoop<String, String> loop = loop((event, now, effects) -> effects.accept(event), 4)) {
+        try (StateMachineLoop<String, String> loop = loop((event, now, effects) -> effects.accept(event), 4)) {
             loop.start(executed::add);
             for (int index = 0; index < 100; index++) {
                 loop.publish("event " + index);
@@ -42,9 +42,9 @@
      */
     @Test
     void handlerThatPublishesToAFullRingDoesNotDeadlock() throws Exception {
-        AtomicReference<MachineLoop<String, String>> self = new AtomicReference<>();
+        AtomicReference<StateMachineLoop<String, String>> self = new AtomicReference<>();
         CountDownLatch full = new CountDownLatch(1);
-        try (MachineLoop<String, String> loop = loop((event, now, effects) -> effects.accept(event), 2)) {
+        try (StateMachineLoop<String, String> loop = loop((event, now, effects) -> effects.accept(event), 2)) {
             self.set(loop);
             loop.start(effect -> {
                 executed.add(effect);
@@ -75,7 +75,7 @@
             }
             effects.accept(event);
         };
-        try (MachineLoop<String, String> loop = loop(machine, 4)) {
+        try (StateMachineLoop<String, String> loop = loop(machine, 4)) {
             loop.start(executed::add);
             loop.publish("");
             loop.publish("next");
@@ -86,7 +86,7 @@
 
     @Test
     void eventWhoseConditionIsFalseIsDropped() throws Exception {
-        try (MachineLoop<String, String> loop = loop((event, now, effects) -> effects.accept(event), 4)) {
+        try (StateMachineLoop<String, String> loop = loop((event, now, effects) -> effects.accept(event), 4)) {
             loop.start(executed::add);
             loop.publish("dropped", () -> false);
             loop.publish("kept", () -> true);
