--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/loop/MachineLoopTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/loop/StateMachineLoopTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.rattanrudder.core.StateMachine;
 
-class MachineLoopTest {
+class StateMachineLoopTest {
     private static final int SECONDS = 10;
 
     private final BlockingQueue<String> executed = new LinkedBlockingQueue<>();
