--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -113,7 +113,7 @@
     private void start(ProcessThreads threads) {
         TargetCalls calls = new TargetCalls(threads.caller(), loop);
         metrics.gauge("rattanrudder_target_calls", "Calls to targets under way", calls::count);
-        metrics.gauge("rattanrudder_ring_waiting", "Events that wait in the ring", loop::waiting);
+        metrics.gauge("rattanrudder_ring_waiting", "Events that wait in the ring", loop::pendingEvents);
         metrics.gauge("rattanrudder_entries", "Entries with an open link", links::count);
         metrics.gauge("rattanrudder_link_sent_bytes", "Bytes of frames sent to entries", links::sentBytes);
         metrics.gauge("rattanrudder_link_received_bytes", "Bytes of frames from entries", links::receivedBytes);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -86,7 +86,7 @@
         PrometheusRegistry registry = new PrometheusRegistry();
         EntryMetrics metrics = new EntryMetrics(registry);
         metrics.gauge("rattanrudder_callers", "Requests whose answers are under way", callers::count);
-        metrics.gauge("rattanrudder_ring_waiting", "Events that wait in the ring", loop::waiting);
+        metrics.gauge("rattanrudder_ring_waiting", "Events that wait in the ring", loop::pendingEvents);
         metrics.gauge("rattanrudder_companions", "Companions with an open link", links::count);
         metrics.gauge("rattanrudder_link_sent_bytes", "Bytes of frames sent to companions", links::sentBytes);
         metrics.gauge("rattanrudder_link_received_bytes", "Bytes of frames from companions", links::receivedBytes);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/StateMachineLoop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/StateMachineLoop.java
@@ -102,7 +102,7 @@
     }
 
     /** Returns the number of queued events, for metrics. */
-    public long waiting() {
+    public long pendingEvents() {
         return ring.getBufferSize() - ring.remainingCapacity();
     }
 
