--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/StateMachineLoop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/StateMachineLoop.java
@@ -34,7 +34,7 @@
     /** The capacity of a process's ring buffer, in events. */
     public static final int RING_SIZE = 4_096;
     /** The interval at which a process publishes ticks. */
-    public static final long TICK_MILLIS = 50;
+    public static final long TICK_INTERVAL_MILLIS = 50;
 
     private static final Logger LOG = Logger.getLogger(StateMachineLoop.class);
     private static final long CLOSE_TIMEOUT_SECONDS = 2;
