--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -158,7 +158,7 @@
                             LogFollower.AvailabilityListener.loggingTo(log))
                     .poll();
         }
-        threads.every(StateMachineLoop.TICK_INTERVAL_MILLIS, () -> loop.offer(new CompanionEvent.Tick()));
+        threads.every(StateMachineLoop.TICK_INTERVAL_MILLIS, () -> loop.tryPublish(new CompanionEvent.Tick()));
     }
 
     @Override
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -135,7 +135,7 @@
                 settings.platform().instances(),
                 listed -> loop.publish(new EntryEvent.InstancesListed(listed)));
         threads.every(InstanceListReader.POLL_INTERVAL_MILLIS, instances::poll);
-        threads.every(StateMachineLoop.TICK_INTERVAL_MILLIS, () -> loop.offer(new EntryEvent.Tick()));
+        threads.every(StateMachineLoop.TICK_INTERVAL_MILLIS, () -> loop.tryPublish(new EntryEvent.Tick()));
     }
 
     /** Gives an event to the machine, and takes out what I/O threads may know of it; on the handler thread. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/StateMachineLoop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/StateMachineLoop.java
@@ -97,7 +97,7 @@
     }
 
     /** Publishes an event unless the ring is full; for events such as ticks, which are repeated anyway. */
-    public void offer(V event) {
+    public void tryPublish(V event) {
         ring.tryPublishEvent((slot, sequence) -> slot.set(event, ALWAYS));
     }
 
