--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -158,7 +158,8 @@
                             LogFollower.AvailabilityListener.loggingTo(log))
                     .poll();
         }
-        threads.every(StateMachineLoop.TICK_INTERVAL_MILLIS, () -> loop.tryPublish(new CompanionEvent.Tick()));
+        threads.scheduleAtFixedRate(
+                StateMachineLoop.TICK_INTERVAL_MILLIS, () -> loop.tryPublish(new CompanionEvent.Tick()));
     }
 
     @Override
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -134,8 +134,9 @@
                 threads.caller(),
                 settings.platform().instances(),
                 listed -> loop.publish(new EntryEvent.InstancesListed(listed)));
-        threads.every(InstanceListReader.POLL_INTERVAL_MILLIS, instances::poll);
-        threads.every(StateMachineLoop.TICK_INTERVAL_MILLIS, () -> loop.tryPublish(new EntryEvent.Tick()));
+        threads.scheduleAtFixedRate(InstanceListReader.POLL_INTERVAL_MILLIS, instances::poll);
+        threads.scheduleAtFixedRate(
+                StateMachineLoop.TICK_INTERVAL_MILLIS, () -> loop.tryPublish(new EntryEvent.Tick()));
     }
 
     /** Gives an event to the machine, and takes out what I/O threads may know of it; on the handler thread. */
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/ProcessThreads.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/ProcessThreads.java
@@ -48,7 +48,7 @@
     }
 
     /** Runs a task at a fixed rate. */
-    public void every(long millis, Runnable task) {
+    public void scheduleAtFixedRate(long millis, Runnable task) {
         timer.scheduleAtFixedRate(task, millis, millis, TimeUnit.MILLISECONDS);
     }
 
