--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -127,7 +127,7 @@
                 new LogAppender(threads.caller(), settings.platform().log()),
                 publish,
                 log,
-                drain::finished);
+                drain::onDrained);
         loop.start(effects);
         closer.add(loop);
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -107,7 +107,7 @@
                 publish,
                 accounts,
                 log,
-                drain::finished);
+                drain::onDrained);
         loop.start(effects);
         closer.add(loop);
         CallerHandler callerHandler =
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/Drain.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/Drain.java
@@ -12,7 +12,7 @@
     private final CountDownLatch drained = new CountDownLatch(1);
 
     /** Marks the state machine as drained. */
-    public void finished() {
+    public void onDrained() {
         drained.countDown();
     }
 
