--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -26,7 +26,7 @@
 import org.rattanrudder.daemon.http.MetricsHandler;
 import org.rattanrudder.daemon.logging.EventLog;
 import org.rattanrudder.daemon.loop.Closer;
-import org.rattanrudder.daemon.loop.Drain;
+import org.rattanrudder.daemon.loop.DrainLatch;
 import org.rattanrudder.daemon.loop.MonotonicClock;
 import org.rattanrudder.daemon.loop.ProcessThreads;
 import org.rattanrudder.daemon.loop.RunningProcess;
@@ -46,7 +46,7 @@
     private final ProcessSettings settings;
     private final Closer closer = new Closer();
     private final Health health = new Health();
-    private final Drain drain = new Drain();
+    private final DrainLatch drain = new DrainLatch();
     private final CompanionMetrics metrics;
     private final EventLog log;
     private final StateMachineLoop<CompanionEvent, CompanionEffect> loop;
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -24,7 +24,7 @@
 import org.rattanrudder.daemon.http.MetricsHandler;
 import org.rattanrudder.daemon.logging.EventLog;
 import org.rattanrudder.daemon.loop.Closer;
-import org.rattanrudder.daemon.loop.Drain;
+import org.rattanrudder.daemon.loop.DrainLatch;
 import org.rattanrudder.daemon.loop.MonotonicClock;
 import org.rattanrudder.daemon.loop.ProcessThreads;
 import org.rattanrudder.daemon.loop.RunningProcess;
@@ -46,7 +46,7 @@
     private final Health health = new Health();
     private final PieceSizes pieceSizes = new PieceSizes();
     private final KnownCredentials credentials = new KnownCredentials();
-    private final Drain drain = new Drain();
+    private final DrainLatch drain = new DrainLatch();
     private final EventLog log;
     private final EntryMachine machine;
     private final StateMachineLoop<EntryEvent, EntryEffect> loop;
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/Drain.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/DrainLatch.java
@@ -6,7 +6,7 @@
 import java.util.function.BooleanSupplier;
 
 /** Waits until a state machine has drained and its last answers have been sent. */
-public final class Drain {
+public final class DrainLatch {
     private static final long POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
     private final CountDownLatch drained = new CountDownLatch(1);
