--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -105,7 +105,7 @@
             if (event instanceof CompanionEvent.FrameArrived arrived
                     && arrived.frame() instanceof Frame.ConfigurationRecords) {
                 // The log is down, and a peer has told what is in force.
-                health.ready(true);
+                health.setReady(true);
             }
         };
     }
@@ -166,7 +166,7 @@
     public void onRecords(LogStream stream, List<LogRecord> records, boolean caughtUp) {
         loop.publish(new CompanionEvent.LogRead(stream, records, caughtUp));
         if (stream == LogStream.CONFIGURATION && caughtUp) {
-            health.ready(true);
+            health.setReady(true);
         }
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -143,7 +143,7 @@
     private void handle(EntryEvent event, long nowMicros, Consumer<? super EntryEffect> effects) {
         machine.handle(event, nowMicros, effects);
         if (event instanceof EntryEvent.Tick) {
-            health.ready(machine.isReady() && links.count() > 0);
+            health.setReady(machine.isReady() && links.count() > 0);
         } else if (event instanceof EntryEvent.LogRead || isRecords(event)) {
             Map<String, Integer> sizes = new HashMap<>();
             for (ServiceDocument document : machine.documents()) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/Health.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/Health.java
@@ -9,12 +9,12 @@
 public final class Health implements HttpHandler {
     private static final String PREFIX = "/health/";
 
-    private volatile boolean ready;
+    private volatile boolean setReady;
     private volatile boolean draining;
 
     /** Sets whether the process can serve requests. */
-    public void ready(boolean isReady) {
-        ready = isReady;
+    public void setReady(boolean isReady) {
+        setReady = isReady;
     }
 
     /** Marks the process as draining. */
@@ -33,7 +33,7 @@
         String check = exchange.getRequestPath().substring(PREFIX.length());
         switch (check) {
             case "live" -> answer(exchange, true);
-            case "ready" -> answer(exchange, ready && !draining);
+            case "ready" -> answer(exchange, setReady && !draining);
             case "drain" -> answer(exchange, draining);
             default -> {
                 exchange.setStatusCode(StatusCodes.NOT_FOUND);
