--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -182,7 +182,7 @@
 
     @Override
     public boolean drain() throws InterruptedException {
-        health.draining();
+        health.startDraining();
         loop.publish(new CompanionEvent.DrainRequested());
         return drain.await(settings.drainSeconds(), links::hasPending);
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -176,7 +176,7 @@
 
     @Override
     public boolean drain() throws InterruptedException {
-        health.draining();
+        health.startDraining();
         loop.publish(new EntryEvent.DrainRequested());
         return drain.await(settings.drainSeconds(), () -> callers.count() > 0);
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/Health.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/Health.java
@@ -10,7 +10,7 @@
     private static final String PREFIX = "/health/";
 
     private volatile boolean setReady;
-    private volatile boolean draining;
+    private volatile boolean startDraining;
 
     /** Sets whether the process can serve requests. */
     public void setReady(boolean isReady) {
@@ -18,8 +18,8 @@
     }
 
     /** Marks the process as draining. */
-    public void draining() {
-        draining = true;
+    public void startDraining() {
+        startDraining = true;
     }
 
     /** Returns whether the path is that of a health check. */
@@ -33,8 +33,8 @@
         String check = exchange.getRequestPath().substring(PREFIX.length());
         switch (check) {
             case "live" -> answer(exchange, true);
-            case "ready" -> answer(exchange, setReady && !draining);
-            case "drain" -> answer(exchange, draining);
+            case "ready" -> answer(exchange, setReady && !startDraining);
+            case "drain" -> answer(exchange, startDraining);
             default -> {
                 exchange.setStatusCode(StatusCodes.NOT_FOUND);
                 exchange.endExchange();
