--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -21,7 +21,7 @@
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.Refusal;
 import org.rattanrudder.daemon.http.ErrorAnswer;
-import org.rattanrudder.daemon.http.Health;
+import org.rattanrudder.daemon.http.HealthHandler;
 import org.rattanrudder.daemon.http.HttpServer;
 import org.rattanrudder.daemon.http.MetricsHandler;
 import org.rattanrudder.daemon.logging.EventLog;
@@ -45,7 +45,7 @@
 
     private final ProcessSettings settings;
     private final Closer closer = new Closer();
-    private final Health health = new Health();
+    private final HealthHandler health = new HealthHandler();
     private final DrainLatch drain = new DrainLatch();
     private final CompanionMetrics metrics;
     private final EventLog log;
@@ -138,7 +138,7 @@
 
     private void serve(HttpServerExchange exchange, HttpHandler metricsHandler) throws Exception {
         String path = exchange.getRequestPath();
-        if (Health.serves(path)) {
+        if (HealthHandler.serves(path)) {
             health.handleRequest(exchange);
         } else if (path.equals("/metrics")) {
             metricsHandler.handleRequest(exchange);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryHttp.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryHttp.java
@@ -5,7 +5,7 @@
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.Refusal;
 import org.rattanrudder.daemon.http.ErrorAnswer;
-import org.rattanrudder.daemon.http.Health;
+import org.rattanrudder.daemon.http.HealthHandler;
 import org.rattanrudder.daemon.logging.EventLog;
 
 /**
@@ -17,7 +17,7 @@
  * @param metrics answers metrics
  * @param log hears of paths that nothing serves
  */
-record EntryHttp(HttpHandler callers, HttpHandler operators, Health health, HttpHandler metrics, EventLog log)
+record EntryHttp(HttpHandler callers, HttpHandler operators, HealthHandler health, HttpHandler metrics, EventLog log)
         implements HttpHandler {
     @Override
     public void handleRequest(HttpServerExchange exchange) throws Exception {
@@ -26,7 +26,7 @@
             callers.handleRequest(exchange);
         } else if (path.startsWith(OperatorHandler.PREFIX)) {
             operators.handleRequest(exchange);
-        } else if (Health.serves(path)) {
+        } else if (HealthHandler.serves(path)) {
             health.handleRequest(exchange);
         } else if (path.equals("/metrics")) {
             metrics.handleRequest(exchange);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryProcess.java
@@ -19,7 +19,7 @@
 import org.rattanrudder.core.log.LogStream;
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.daemon.http.BodyReader;
-import org.rattanrudder.daemon.http.Health;
+import org.rattanrudder.daemon.http.HealthHandler;
 import org.rattanrudder.daemon.http.HttpServer;
 import org.rattanrudder.daemon.http.MetricsHandler;
 import org.rattanrudder.daemon.logging.EventLog;
@@ -43,7 +43,7 @@
 
     private final ProcessSettings settings;
     private final Closer closer = new Closer();
-    private final Health health = new Health();
+    private final HealthHandler health = new HealthHandler();
     private final PieceSizes pieceSizes = new PieceSizes();
     private final KnownCredentials credentials = new KnownCredentials();
     private final DrainLatch drain = new DrainLatch();
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/Health.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/HealthHandler.java
@@ -6,7 +6,7 @@
 import io.undertow.util.StatusCodes;
 
 /** Serves the health checks of a process; its state is set by the handler thread and read by I/O threads. */
-public final class Health implements HttpHandler {
+public final class HealthHandler implements HttpHandler {
     private static final String PREFIX = "/health/";
 
     private volatile boolean setReady;
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/entry/EntryHttpTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/entry/EntryHttpTest.java
@@ -31,7 +31,7 @@
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.Refusal;
 import org.rattanrudder.daemon.http.BodyReader;
-import org.rattanrudder.daemon.http.Health;
+import org.rattanrudder.daemon.http.HealthHandler;
 import org.rattanrudder.daemon.http.HttpServer;
 import org.rattanrudder.daemon.http.MetricsHandler;
 import org.rattanrudder.daemon.logging.EventLog;
@@ -65,7 +65,7 @@
         EntryHttp http = new EntryHttp(
                 new CallerHandler(31, callers, sizes, credentials, bodies, events::add, log),
                 new OperatorHandler(Credential.digest("operator"), sizes, bodies, events::add, () -> null),
-                new Health(),
+                new HealthHandler(),
                 new MetricsHandler(new PrometheusRegistry()),
                 log);
         server = new HttpServer(threads.worker(), new InetSocketAddress("127.0.0.1", 0), LIMITS, http);
