--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/CompanionProcess.java
@@ -20,7 +20,7 @@
 import org.rattanrudder.core.model.Address;
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.Refusal;
-import org.rattanrudder.daemon.http.ErrorAnswer;
+import org.rattanrudder.daemon.http.ErrorResponse;
 import org.rattanrudder.daemon.http.HealthHandler;
 import org.rattanrudder.daemon.http.HttpServer;
 import org.rattanrudder.daemon.http.MetricsHandler;
@@ -143,7 +143,7 @@
         } else if (path.equals("/metrics")) {
             metricsHandler.handleRequest(exchange);
         } else {
-            ErrorAnswer.send(exchange, new Refusal(ErrorKind.UNKNOWN_PATH, 0, "nothing is served here"), "");
+            ErrorResponse.send(exchange, new Refusal(ErrorKind.UNKNOWN_PATH, 0, "nothing is served here"), "");
         }
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/CallerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/CallerExchange.java
@@ -13,7 +13,7 @@
 import org.rattanrudder.core.call.Header;
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.Refusal;
-import org.rattanrudder.daemon.http.ErrorAnswer;
+import org.rattanrudder.daemon.http.ErrorResponse;
 import org.rattanrudder.daemon.http.PassedHeaders;
 import org.xnio.IoUtils;
 import org.xnio.XnioExecutor;
@@ -126,7 +126,7 @@
             if (!begun) {
                 ended = true;
                 exchange.getResponseHeaders().clear();
-                ErrorAnswer.send(exchange, refusal, requestId);
+                ErrorResponse.send(exchange, refusal, requestId);
                 return;
             }
             if (streamed) {
@@ -147,7 +147,7 @@
 
     private void openChannel() {
         begun = true;
-        exchange.getResponseHeaders().put(ErrorAnswer.REQUEST_HEADER, requestId);
+        exchange.getResponseHeaders().put(ErrorResponse.REQUEST_HEADER, requestId);
         channel = exchange.getResponseChannel();
         channel.getWriteSetter().set(ready -> write());
     }
@@ -180,7 +180,7 @@
     }
 
     private byte[] errorEvent(Refusal refusal) {
-        String body = new String(ErrorAnswer.body(refusal, requestId), StandardCharsets.UTF_8);
+        String body = new String(ErrorResponse.body(refusal, requestId), StandardCharsets.UTF_8);
         return ("event: error\ndata: " + body + "\n\n").getBytes(StandardCharsets.UTF_8);
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/CallerHandler.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/CallerHandler.java
@@ -18,7 +18,7 @@
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.Refusal;
 import org.rattanrudder.daemon.http.BodyReader;
-import org.rattanrudder.daemon.http.ErrorAnswer;
+import org.rattanrudder.daemon.http.ErrorResponse;
 import org.rattanrudder.daemon.http.PassedHeaders;
 import org.rattanrudder.daemon.logging.EventLog;
 import org.rattanrudder.document.Credential;
@@ -157,6 +157,6 @@
 
     private void refuse(HttpServerExchange exchange, ErrorKind kind, String detail) {
         log.info("request_refused", "kind", kind.wireName(), "detail", detail);
-        ErrorAnswer.send(exchange, new Refusal(kind, 0, detail), "");
+        ErrorResponse.send(exchange, new Refusal(kind, 0, detail), "");
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryHttp.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/EntryHttp.java
@@ -4,7 +4,7 @@
 import io.undertow.server.HttpServerExchange;
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.Refusal;
-import org.rattanrudder.daemon.http.ErrorAnswer;
+import org.rattanrudder.daemon.http.ErrorResponse;
 import org.rattanrudder.daemon.http.HealthHandler;
 import org.rattanrudder.daemon.logging.EventLog;
 
@@ -32,7 +32,7 @@
             metrics.handleRequest(exchange);
         } else {
             log.info("request_refused", "kind", ErrorKind.UNKNOWN_PATH.wireName());
-            ErrorAnswer.send(exchange, new Refusal(ErrorKind.UNKNOWN_PATH, 0, "nothing is served here"), "");
+            ErrorResponse.send(exchange, new Refusal(ErrorKind.UNKNOWN_PATH, 0, "nothing is served here"), "");
         }
     }
 }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/OperatorHandler.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/OperatorHandler.java
@@ -23,7 +23,7 @@
 import org.rattanrudder.core.model.Refusal;
 import org.rattanrudder.core.model.ServiceName;
 import org.rattanrudder.daemon.http.BodyReader;
-import org.rattanrudder.daemon.http.ErrorAnswer;
+import org.rattanrudder.daemon.http.ErrorResponse;
 import org.rattanrudder.document.Credential;
 import org.rattanrudder.operator.ExplainRequest;
 import org.rattanrudder.operator.OperatorJson;
@@ -70,7 +70,7 @@
         }
         exchange.getIoThread().execute(() -> {
             if (reply instanceof OperatorReply.Refused refused) {
-                ErrorAnswer.send(exchange, refused.refusal(), "");
+                ErrorResponse.send(exchange, refused.refusal(), "");
             } else {
                 sendJson(exchange, reply);
             }
@@ -158,7 +158,7 @@
     }
 
     private static void refuse(HttpServerExchange exchange, ErrorKind kind, String detail) {
-        ErrorAnswer.send(exchange, new Refusal(kind, 0, detail), "");
+        ErrorResponse.send(exchange, new Refusal(kind, 0, detail), "");
     }
 
     private static String firstLine(Exception malformed) {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/BodyReader.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/BodyReader.java
@@ -116,7 +116,7 @@
     private void refuse(HttpServerExchange exchange, Refusal refusal) {
         refusalListener.accept(exchange, refusal);
         exchange.setPersistent(false);
-        ErrorAnswer.send(exchange, refusal, "", new LingeringClose());
+        ErrorResponse.send(exchange, refusal, "", new LingeringClose());
     }
 
     private final class PendingBody {
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/ErrorAnswer.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/ErrorResponse.java
@@ -11,14 +11,14 @@
 import org.rattanrudder.core.model.Refusal;
 
 /** Writes error responses, which all have the same JSON format. */
-public final class ErrorAnswer {
+public final class ErrorResponse {
     /** The response header with the request's id. */
     public static final HttpString REQUEST_HEADER = new HttpString("Rattanrudder-Request");
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final long MILLIS_PER_SECOND = 1_000;
 
-    private ErrorAnswer() {}
+    private ErrorResponse() {}
 
     /** Returns the JSON body of an error. */
     public static byte[] body(Refusal refusal, String requestId) {
