--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/EngineCall.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/EngineCall.java
@@ -9,7 +9,7 @@
 import org.rattanrudder.core.call.Usage;
 import org.rattanrudder.core.companion.CompanionEvent;
 import org.rattanrudder.core.model.AttemptId;
-import org.rattanrudder.daemon.http.PassedHeaders;
+import org.rattanrudder.daemon.http.ForwardedHeaders;
 
 /** A prompt at an engine: each server-sent event of the answer is one chunk, in the order of its number. */
 final class EngineCall extends TargetCall {
@@ -48,7 +48,7 @@
                 && headers.stream()
                         .anyMatch(header -> header.name().equalsIgnoreCase("Content-Type")
                                 && header.value().startsWith("text/event-stream"));
-        publish(new CompanionEvent.TargetAnswerStarted(attempt(), status, PassedHeaders.of(headers)));
+        publish(new CompanionEvent.TargetAnswerStarted(attempt(), status, ForwardedHeaders.of(headers)));
     }
 
     @Override
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/PlainCall.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/PlainCall.java
@@ -6,7 +6,7 @@
 import org.rattanrudder.core.call.Usage;
 import org.rattanrudder.core.companion.CompanionEvent;
 import org.rattanrudder.core.model.AttemptId;
-import org.rattanrudder.daemon.http.PassedHeaders;
+import org.rattanrudder.daemon.http.ForwardedHeaders;
 
 /** A call to a plain service: the answer passes on as it comes. */
 final class PlainCall extends TargetCall {
@@ -16,7 +16,7 @@
 
     @Override
     public void head(int status, List<Header> headers) {
-        publish(new CompanionEvent.TargetAnswerStarted(attempt(), status, PassedHeaders.of(headers)));
+        publish(new CompanionEvent.TargetAnswerStarted(attempt(), status, ForwardedHeaders.of(headers)));
     }
 
     @Override
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/CallerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/CallerExchange.java
@@ -14,7 +14,7 @@
 import org.rattanrudder.core.model.ErrorKind;
 import org.rattanrudder.core.model.Refusal;
 import org.rattanrudder.daemon.http.ErrorResponse;
-import org.rattanrudder.daemon.http.PassedHeaders;
+import org.rattanrudder.daemon.http.ForwardedHeaders;
 import org.xnio.IoUtils;
 import org.xnio.XnioExecutor;
 import org.xnio.channels.StreamSinkChannel;
@@ -91,7 +91,7 @@
                 assembler = new CompletionAssembler(WHOLE_ANSWER_BYTES);
                 return;
             }
-            PassedHeaders.addTo(exchange.getResponseHeaders(), headers);
+            ForwardedHeaders.addTo(exchange.getResponseHeaders(), headers);
             openChannel();
         });
     }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/CallerHandler.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/CallerHandler.java
@@ -19,7 +19,7 @@
 import org.rattanrudder.core.model.Refusal;
 import org.rattanrudder.daemon.http.BodyReader;
 import org.rattanrudder.daemon.http.ErrorResponse;
-import org.rattanrudder.daemon.http.PassedHeaders;
+import org.rattanrudder.daemon.http.ForwardedHeaders;
 import org.rattanrudder.daemon.logging.EventLog;
 import org.rattanrudder.document.Credential;
 
@@ -98,7 +98,7 @@
             refuse(exchange, ErrorKind.MALFORMED_REQUEST, "the body can't be read");
             return;
         }
-        Call call = new Call("POST", CHAT_PATH, PassedHeaders.of(exchange.getRequestHeaders()), body);
+        Call call = new Call("POST", CHAT_PATH, ForwardedHeaders.of(exchange.getRequestHeaders()), body);
         PromptShape shape = chat.shape(pieceSizes.of(chat.model()));
         CallerExchange.AnswerForm form =
                 chat.stream() ? CallerExchange.AnswerForm.STREAMED : CallerExchange.AnswerForm.WHOLE;
@@ -114,7 +114,7 @@
             path = path + "?" + exchange.getQueryString();
         }
         Call call = new Call(
-                exchange.getRequestMethod().toString(), path, PassedHeaders.of(exchange.getRequestHeaders()), body);
+                exchange.getRequestMethod().toString(), path, ForwardedHeaders.of(exchange.getRequestHeaders()), body);
         arrived(exchange, CallerExchange.AnswerForm.PLAIN, request(exchange, service, key, call, PromptShape.NONE));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/PassedHeaders.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/ForwardedHeaders.java
@@ -10,7 +10,7 @@
 import org.rattanrudder.core.call.Header;
 
 /** Selects the headers to forward: all but hop-by-hop headers and those of the system itself. */
-public final class PassedHeaders {
+public final class ForwardedHeaders {
     private static final Set<String> NOT_FORWARDED = Set.of(
             "connection",
             "keep-alive",
@@ -27,7 +27,7 @@
             "rattanrudder-class",
             "rattanrudder-request");
 
-    private PassedHeaders() {}
+    private ForwardedHeaders() {}
 
     /** Returns the caller's headers to forward to the target; its credential is never among them. */
     public static List<Header> of(HeaderMap headers) {
