--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/EngineCall.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/EngineCall.java
@@ -48,7 +48,7 @@
                 && headers.stream()
                         .anyMatch(header -> header.name().equalsIgnoreCase("Content-Type")
                                 && header.value().startsWith("text/event-stream"));
-        publish(new CompanionEvent.TargetAnswerStarted(attempt(), status, ForwardedHeaders.of(headers)));
+        publish(new CompanionEvent.TargetAnswerStarted(attempt(), status, ForwardedHeaders.forwardable(headers)));
     }
 
     @Override
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/PlainCall.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/companion/PlainCall.java
@@ -16,7 +16,7 @@
 
     @Override
     public void head(int status, List<Header> headers) {
-        publish(new CompanionEvent.TargetAnswerStarted(attempt(), status, ForwardedHeaders.of(headers)));
+        publish(new CompanionEvent.TargetAnswerStarted(attempt(), status, ForwardedHeaders.forwardable(headers)));
     }
 
     @Override
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/CallerHandler.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/entry/CallerHandler.java
@@ -98,7 +98,7 @@
             refuse(exchange, ErrorKind.MALFORMED_REQUEST, "the body can't be read");
             return;
         }
-        Call call = new Call("POST", CHAT_PATH, ForwardedHeaders.of(exchange.getRequestHeaders()), body);
+        Call call = new Call("POST", CHAT_PATH, ForwardedHeaders.forwardable(exchange.getRequestHeaders()), body);
         PromptShape shape = chat.shape(pieceSizes.of(chat.model()));
         CallerExchange.AnswerForm form =
                 chat.stream() ? CallerExchange.AnswerForm.STREAMED : CallerExchange.AnswerForm.WHOLE;
@@ -114,7 +114,10 @@
             path = path + "?" + exchange.getQueryString();
         }
         Call call = new Call(
-                exchange.getRequestMethod().toString(), path, ForwardedHeaders.of(exchange.getRequestHeaders()), body);
+                exchange.getRequestMethod().toString(),
+                path,
+                ForwardedHeaders.forwardable(exchange.getRequestHeaders()),
+                body);
         arrived(exchange, CallerExchange.AnswerForm.PLAIN, request(exchange, service, key, call, PromptShape.NONE));
     }
 
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/ForwardedHeaders.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/http/ForwardedHeaders.java
@@ -30,7 +30,7 @@
     private ForwardedHeaders() {}
 
     /** Returns the caller's headers to forward to the target; its credential is never among them. */
-    public static List<Header> of(HeaderMap headers) {
+    public static List<Header> forwardable(HeaderMap headers) {
         List<Header> forwarded = new ArrayList<>();
         for (HeaderValues values : headers) {
             String name = values.getHeaderName().toString();
@@ -42,7 +42,7 @@
     }
 
     /** Returns the target's headers to forward to the caller. */
-    public static List<Header> of(List<Header> headers) {
+    public static List<Header> forwardable(List<Header> headers) {
         return headers.stream().filter(header -> isForwarded(header.name())).toList();
     }
 
