--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/AnswerRelay.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/AnswerRelay.java
@@ -51,7 +51,7 @@
     private static void markAccepted(InFlightRequest inFlight) {
         if (!inFlight.accepted) {
             inFlight.accepted = true;
-            inFlight.route.target().accepted(inFlight.route.contextMicros());
+            inFlight.route.target().onAccepted(inFlight.route.contextMicros());
         }
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/RequestDispatcher.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/RequestDispatcher.java
@@ -207,7 +207,7 @@
 
     private void releaseTarget(InFlightRequest inFlight) {
         if (!inFlight.accepted) {
-            inFlight.route.target().accepted(inFlight.route.contextMicros());
+            inFlight.route.target().onAccepted(inFlight.route.contextMicros());
         }
         inFlight.route.target().ended();
     }
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutableTarget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutableTarget.java
@@ -101,7 +101,7 @@
     }
 
     /** Records that the companion accepted an attempt; its next report includes it. */
-    public void accepted(long contextMicros) {
+    public void onAccepted(long contextMicros) {
         unacceptedRequests = Math.max(0, unacceptedRequests - 1);
         unacceptedContextMicros = Math.max(0, unacceptedContextMicros - contextMicros);
     }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
@@ -250,7 +250,7 @@
                 return;
             }
             Route route = job.route;
-            schedule(now + NETWORK_DELAY_MICROS, () -> route.target().accepted(route.contextMicros()));
+            schedule(now + NETWORK_DELAY_MICROS, () -> route.target().onAccepted(route.contextMicros()));
             queue.add(job);
             startNext();
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/RoutableTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/RoutableTargetTest.java
@@ -23,7 +23,7 @@
     void acceptedAttemptsAreNotCountedInAdditionToTheReport() {
         target.onDispatched(50_000);
         target.onDispatched(50_000);
-        target.accepted(50_000);
+        target.onAccepted(50_000);
 
         TestPools.report(target, true, 1, 0, TestPools.NOW);
 
