--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/AnswerRelay.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/AnswerRelay.java
@@ -97,7 +97,7 @@
             inFlight.firstByteMicros = nowMicros;
         }
         inFlight.usage = end.usage();
-        inFlight.route.target().ended();
+        inFlight.route.target().onEnded();
         completer.onAnswered(inFlight, nowMicros);
     }
 
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/RequestDispatcher.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/entry/RequestDispatcher.java
@@ -209,7 +209,7 @@
         if (!inFlight.accepted) {
             inFlight.route.target().onAccepted(inFlight.route.contextMicros());
         }
-        inFlight.route.target().ended();
+        inFlight.route.target().onEnded();
     }
 
     /** Cancels the attempt at its companion, now or once a link to the companion is open again. */
--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutableTarget.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/routing/RoutableTarget.java
@@ -107,7 +107,7 @@
     }
 
     /** Records that an attempt at the target has ended. */
-    public void ended() {
+    public void onEnded() {
         ownRequests = Math.max(0, ownRequests - 1);
     }
 
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/bench/ServingModel.java
@@ -296,7 +296,7 @@
             busy--;
             running--;
             jobs.remove(job);
-            schedule(now + NETWORK_DELAY_MICROS, () -> job.route.target().ended());
+            schedule(now + NETWORK_DELAY_MICROS, () -> job.route.target().onEnded());
             job.entry.pool.recordServiceTime(now - job.demand.micros() - MICROS_PER_SECOND);
             startNext();
         }
--- a/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/RoutableTargetTest.java
+++ b/rattanrudder-core/src/test/java/org/rattanrudder/core/routing/RoutableTargetTest.java
@@ -29,8 +29,8 @@
 
         assertThat(target.utilization()).isEqualTo(0.2);
         assertThat(target.waitMicros(SERVICE_MICROS, TestPools.NOW)).isEqualTo(50_000);
-        target.ended();
-        target.ended();
+        target.onEnded();
+        target.onEnded();
         assertThat(target.utilization()).isZero();
     }
 
