--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -113,13 +113,13 @@
             placeOnAnyTarget();
             return;
         }
-        if (state.holdingQueue(plan.service()).size() > 0 || !placeInWindow()) {
+        if (state.holdingQueue(plan.service()).size() > 0 || !tryPlace()) {
             queueWait.join(!triedTargets.isEmpty());
         }
     }
 
     /** Sends the request if an engine has room for it; returns whether it was sent. */
-    boolean placeInWindow() {
+    boolean tryPlace() {
         long now = state.nowMillis();
         boolean late = now > plan.onTimeUntil();
         List<Target> open = SendWindow.targetsWithRoom(
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -212,7 +212,7 @@
         }
         loop.execute(() -> {
             scheduledDispatches.remove(service);
-            queue.dispatchWhile(Exchange::placeInWindow);
+            queue.dispatchWhile(Exchange::tryPlace);
         });
     }
 
