--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -140,7 +140,7 @@
     }
 
     /** Rejects the queued request: the queue is too long for one that will be late. The response says when to retry. */
-    void refuseFromLine() {
+    void refuseQueued() {
         if (!ended) {
             end(runs > 0 ? ErrorKind.TARGET_FAILED : ErrorKind.OVERLOADED, "line too long");
         }
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayState.java
@@ -200,7 +200,7 @@
         long now = nowMillis();
         long allowed =
                 HoldingQueue.maxLateTokens(fleet.activeTargets(service, now).size(), relayCount(now));
-        queue.expire(now, allowed).forEach(refused -> refused.request().refuseFromLine());
+        queue.expire(now, allowed).forEach(refused -> refused.request().refuseQueued());
         dispatchQueued(service);
     }
 
