--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CrashDetector.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CrashDetector.java
@@ -37,7 +37,7 @@
     }
 
     /** Sets the probe that dials a target, and the listener for crashes with the requests that were running there. */
-    void use(
+    void setHandlers(
             BiConsumer<Target, Consumer<DialResult>> newProbe,
             BiConsumer<Target, Set<RequestFingerprint>> newListener) {
         probe = newProbe;
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayProcess.java
@@ -103,7 +103,7 @@
                 new TargetListener());
         rollouts = new RolloutCoordinator(state, incarnation);
         quarantine = closer.add(new QuarantineExchange(state));
-        state.crashDetector().use(pools::probe, quarantine::onCrash);
+        state.crashDetector().setHandlers(pools::probe, quarantine::onCrash);
         peers = closer.add(new PeerExchange(
                 state, new Bootstrap().group(group), incarnation, new LocalState(), new PeerListener()));
         loop.execute(this::startComponents);
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/CrashDetectorTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/CrashDetectorTest.java
@@ -29,7 +29,8 @@
     @BeforeEach
     void listen() {
         channel.freezeTime();
-        detector.use((target, then) -> then.accept(dials.remove()), (target, requests) -> crashes.add(requests));
+        detector.setHandlers(
+                (target, then) -> then.accept(dials.remove()), (target, requests) -> crashes.add(requests));
     }
 
     @Test
