--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/Exchange.java
@@ -305,7 +305,7 @@
             target.recordFailure(0, now);
         } else {
             quarantine.onAnswered();
-            long taken = plan.route().repeat().stream() ? attempt.firstPieceMillis() : now - attempt.sentAt();
+            long taken = plan.route().repeat().stream() ? attempt.firstByteMillis() : now - attempt.sentAt();
             target.recordSuccess(taken - plan.expectedFirstByteMillis(), now);
         }
         endAttempt("answered");
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
@@ -133,7 +133,7 @@
                         attempt.map(sent -> Long.toString(sent.sentAt() - plan.arrivedAt()))
                                 .orElse("none"),
                         "first_after_ms",
-                        attempt.map(sent -> Long.toString(sent.firstPieceMillis()))
+                        attempt.map(sent -> Long.toString(sent.firstByteMillis()))
                                 .orElse("none"),
                         "longest_pause_ms",
                         attempt.map(sent -> Long.toString(sent.maxPauseMillis()))
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/FetchLatenessRecorder.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/FetchLatenessRecorder.java
@@ -28,7 +28,7 @@
      * the store of the largest part, which takes the longest to fetch; the other parts arrive in the meantime.
      */
     void recordFirstByte(TargetAttempt attempt, PartDirectory directory, long nowMillis) {
-        double excess = attempt.firstPieceMillis() - attempt.outgoing().millisWithoutFetch();
+        double excess = attempt.firstByteMillis() - attempt.outgoing().millisWithoutFetch();
         attempt.outgoing().forwarding().parts().sources().stream()
                 .flatMap(Optional::stream)
                 .max(Comparator.comparingInt(PartPlan.Source::tokens))
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/TargetAttempt.java
@@ -9,7 +9,7 @@
     private final RequestPlan.Outgoing outgoing;
     private final long sentAt;
     private long lastContentAt;
-    private long firstPieceMillis = -1;
+    private long firstByteMillis = -1;
     private long maxPauseMillis;
 
     TargetAttempt(Target target, TargetConnection connection, RequestPlan.Outgoing outgoing, long sentAt) {
@@ -46,8 +46,8 @@
     }
 
     /** Returns the time to the first byte in ms; -1 before it. */
-    long firstPieceMillis() {
-        return firstPieceMillis;
+    long firstByteMillis() {
+        return firstByteMillis;
     }
 
     /** Returns the longest time between two chunks, in ms. */
@@ -56,7 +56,7 @@
     }
 
     boolean hasBegun() {
-        return firstPieceMillis >= 0;
+        return firstByteMillis >= 0;
     }
 
     /** Records a chunk of the response; returns whether it was the first. */
@@ -68,7 +68,7 @@
             maxPauseMillis = Math.max(maxPauseMillis, pause);
             return false;
         }
-        firstPieceMillis = nowMillis - sentAt;
+        firstByteMillis = nowMillis - sentAt;
         target.onFirstByte(cost());
         return true;
     }
