--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/PeerExchange.java
@@ -94,7 +94,7 @@
         this.localState = localState;
         this.listener = listener;
         Address address = state.settings().peers();
-        channel = RelayChannels.opened(
+        channel = RelayChannels.awaitBound(
                 datagrams
                         .channel(NioDatagramChannel.class)
                         .handler(new MessageHandler())
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayChannels.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RelayChannels.java
@@ -58,7 +58,7 @@
      */
     static Channel listen(EventLoopGroup group, Address address, ChannelInitializer<Channel> channels)
             throws IOException {
-        return opened(
+        return awaitBound(
                 new ServerBootstrap()
                         .group(group)
                         .channel(NioServerSocketChannel.class)
@@ -80,7 +80,7 @@
      *
      * @throws IOException if the wait was interrupted
      */
-    static Channel opened(ChannelFuture binding, Address address) throws IOException {
+    static Channel awaitBound(ChannelFuture binding, Address address) throws IOException {
         try {
             return binding.sync().channel();
         } catch (InterruptedException interrupted) {
