--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/CrashDetectorTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/CrashDetectorTest.java
@@ -74,7 +74,7 @@
     }
 
     private List<Set<RequestFingerprint>> crashesAfterBrokenConnection() {
-        detector.onConnectionBroken(KnownTargets.target("i-1", Map.of(), NOW), REQUEST);
+        detector.onConnectionBroken(TestTargets.target("i-1", Map.of(), NOW), REQUEST);
         for (int step = 0; step < CrashDetector.MAX_DIALS + 1; step++) {
             channel.advanceTimeBy(CrashDetector.MIN_OPEN_MILLIS, TimeUnit.MILLISECONDS);
             channel.runScheduledPendingTasks();
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/PlacementBroadcasterTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/PlacementBroadcasterTest.java
@@ -30,7 +30,7 @@
     }
 
     private static Target engine(String id) {
-        return KnownTargets.target(id, Map.of("m", 1L), NOW);
+        return TestTargets.target(id, Map.of("m", 1L), NOW);
     }
 
     private void advanceTime(long millis) {
@@ -67,7 +67,7 @@
     /** Servers of plain services report their load in each answer. */
     @Test
     void placementsAtPlainServicesAreNotBroadcast() {
-        broadcaster.recordPlacement(KnownTargets.target("i-plain", Map.of(), NOW));
+        broadcaster.recordPlacement(TestTargets.target("i-plain", Map.of(), NOW));
 
         advanceTime(1_000);
 
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/KnownTargets.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/relay/TestTargets.java
@@ -8,8 +8,8 @@
 import org.rattanrudder.core.model.Address;
 
 /** Creates targets for tests. */
-final class KnownTargets {
-    private KnownTargets() {}
+final class TestTargets {
+    private TestTargets() {}
 
     /** Returns a target that was just registered. */
     static Target target(String id, Map<String, Long> weights, long nowMillis) {
