--- a/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
+++ b/rattanrudder-core/src/main/java/org/rattanrudder/core/claims/KeyClaims.java
@@ -24,7 +24,7 @@
  *
  * <pre>{@code
  * KeyDecision decision = claims.admit(attempt, KeyedCall.of(service, customer, key, call), now, now + deadline);
- * claims.onRecords(records, caughtUp, now, (heldAttempt, later) -> carryOut(heldAttempt, later));
+ * claims.onRecords(records, caughtUp, now, (held, laterDecision) -> decidePending(held, laterDecision));
  * claims.recordAnswer(attempt, status, headers, body);
  * claims.sendDue(now, appender);
  * }</pre>
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/StateMachineLoop.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/loop/StateMachineLoop.java
@@ -22,8 +22,8 @@
  * state machine and executes the resulting effects.
  *
  * <pre>{@code
- * MachineLoop<EntryEvent, EntryEffect> loop = new MachineLoop<>(machine, clock, MachineLoop.RING_SIZE);
- * loop.start(effects::carryOut);
+ * StateMachineLoop<EntryEvent, EntryEffect> loop = new StateMachineLoop<>(machine, clock, StateMachineLoop.RING_SIZE);
+ * loop.start(effects);
  * loop.publish(new EntryEvent.Tick());
  * }</pre>
  *
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/platform/LogFollower.java
@@ -30,7 +30,7 @@
     private final Address log;
     private final LogStream stream;
     private final Listener listener;
-    private final AvailabilityListener watch;
+    private final AvailabilityListener availabilityListener;
     private long nextOffset = 1;
     private boolean caughtUp;
     private boolean failing;
@@ -52,7 +52,7 @@
         /** Called for the first successful read after a failure. */
         void onAvailable(LogStream stream);
 
-        /** Returns a watch that logs both to the event log. */
+        /** Returns a listener that logs both to the event log. */
         static AvailabilityListener loggingTo(EventLog events) {
             return new AvailabilityListener() {
                 @Override
@@ -76,7 +76,7 @@
      * @param log the address of the log service
      * @param stream the stream to follow
      * @param listener receives the records
-     * @param watch notified of failures
+     * @param availabilityListener notified of failures
      */
     public LogFollower(
             HttpCaller caller,
@@ -84,13 +84,13 @@
             Address log,
             LogStream stream,
             Listener listener,
-            AvailabilityListener watch) {
+            AvailabilityListener availabilityListener) {
         this.caller = caller;
         this.timer = timer;
         this.log = log;
         this.stream = stream;
         this.listener = listener;
-        this.watch = watch;
+        this.availabilityListener = availabilityListener;
     }
 
     /** Reads the next page, and then further ones until the caller or the timer is closed. */
@@ -136,7 +136,7 @@
         caughtUp = nextOffset >= page.path("next").asLong();
         if (failing) {
             failing = false;
-            watch.onAvailable(stream);
+            availabilityListener.onAvailable(stream);
         }
         listener.onRecords(stream, records, caughtUp);
     }
@@ -144,7 +144,7 @@
     private void onFailure(String reason) {
         if (!failing) {
             failing = true;
-            watch.onUnavailable(stream, reason);
+            availabilityListener.onUnavailable(stream, reason);
         }
         listener.onReadFailed(stream);
         timer.schedule(this::poll, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CrashDetector.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CrashDetector.java
@@ -12,7 +12,7 @@
 import org.rattanrudder.core.quarantine.RequestFingerprint;
 
 /**
- * Tells a crash of a target from broken connections: after a crash no process listens at its address.
+ * Distinguishes a crash of a target from broken connections: after a crash no process listens at its address.
  *
  * <p>An ending process may close its connections before its listening socket. A successful dial therefore proves that
  * the target is alive only if the new connection stays open.
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/ExchangeLog.java
@@ -45,7 +45,7 @@
                                 .orElse("none"));
     }
 
-    void queued(int inLine, long untilMillis, List<Target> targets, long now) {
+    void queued(int queueLength, long untilMillis, List<Target> targets, long now) {
         state.log()
                 .info(
                         "request_held",
@@ -54,7 +54,7 @@
                         "service",
                         plan.service(),
                         "in_line",
-                        Integer.toString(inLine),
+                        Integer.toString(queueLength),
                         "on_time_for_ms",
                         Long.toString(untilMillis),
                         "targets",
--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/RequestPlan.java
@@ -217,7 +217,7 @@
 
     /**
      * Returns a salt that no other request uses: without a known weights version, parts of different versions can't be
-     * told apart and must not be shared.
+     * distinguished and must not be shared.
      */
     private Optional<String> uniqueSalt() {
         return engine.isPresent() ? Optional.of("request-" + metadata.id()) : Optional.empty();
--- a/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
+++ b/rattanrudder-daemon/src/test/java/org/rattanrudder/daemon/platform/LogFollowerTest.java
@@ -65,14 +65,14 @@
                             log.address(),
                             LogStream.CONFIGURATION,
                             new RecordingListener(reads),
-                            new RecordingWatch(statusChanges))
+                            new RecordingAvailabilityListener(statusChanges))
                     .poll();
 
             List<String> expected =
                     List.of("[1, 2] false", "[3] true", "failed", "[20, 21, 22] true", "[] true", "failed");
             for (String each : expected) {
                 assertThat(reads.poll(SECONDS, TimeUnit.SECONDS))
-                        .as(() -> "watch events: " + statusChanges)
+                        .as(() -> "availability events: " + statusChanges)
                         .isEqualTo(each);
             }
         }
@@ -148,7 +148,8 @@
         }
     }
 
-    private record RecordingWatch(BlockingQueue<String> statusChanges) implements LogFollower.AvailabilityListener {
+    private record RecordingAvailabilityListener(BlockingQueue<String> statusChanges)
+            implements LogFollower.AvailabilityListener {
         @Override
         public void onUnavailable(LogStream stream, String reason) {
             statusChanges.add("lost: " + reason);
