--- a/rattanrudder-command/src/test/java/org/rattanrudder/command/DocumentationTest.java
+++ b/rattanrudder-command/src/test/java/org/rattanrudder/command/DocumentationTest.java
@@ -79,7 +79,7 @@
 
     /** How names stand in the sources. */
     private enum Names {
-        EVENT("(?:(?:note|infof?|warn|error|line|write)\\((?:severity, )?\\s*|String EVENT = )"
+        EVENT("(?:(?:logEvent|infof?|warn|error|line|write)\\((?:severity, )?\\s*|String EVENT = )"
                 + "\"(?:event=)?([a-z]+_?[a-z_]*)[ \"]"),
         METRIC("\"(rattanrudder_[a-z_]+)\"");
 
