--- a/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
+++ b/rattanrudder-daemon/src/main/java/org/rattanrudder/daemon/relay/CallerConnection.java
@@ -163,7 +163,7 @@
             return;
         }
         if (state.configuration().isEmpty()) {
-            // Without a configuration the request can't be judged: the error is the relay's, not the caller's.
+            // Without a configuration it isn't known whether the request is valid, so the caller isn't at fault.
             problem = ErrorKind.LOG_UNAVAILABLE;
             return;
         }
